--- a/Libraries/LibFleet/EndpointLimits.cpp
+++ b/Libraries/LibFleet/EndpointLimits.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Fraction of the rate that is shared out; the rest is headroom for entries
-/// that do not know of each other.
+/// Fraction of the rate that is shared out; the rest is headroom for gateways
+/// that are missing from each other's membership lists.
 constexpr double kUsedFraction = 0.6;
-/// Entries that send to one endpoint: a minimum, plus a number proportional to
+/// Gateways that send to one endpoint: a minimum, plus a number proportional to
 /// the rate.
 constexpr double kMinSenders = 2;
 constexpr double kSendersPerRate = 0.5;
 /// Capacity of the token bucket. Allows no bursts after an idle period.
 constexpr double kBucketSize = 1;
-/// After this time without a confirming answer, entries without a share probe
+/// After this time without a confirming answer, gateways without a share probe
 /// the endpoint one after the other.
 constexpr duration kProbeDelay = std::chrono::seconds(10);
 /// Interval at which a limit in force is announced again.
@@ -80,7 +80,7 @@
                  std::string_view aEndpointId,
                  const std::vector<std::string>& aHosts,
                  std::string_view aOwnHost,
-                 std::size_t aEntries,
+                 std::size_t aGateways,
                  time_point aNow)
 {
   if (!aLimit.mPerSecond.has_value()) {
@@ -91,16 +91,17 @@
                                                        aOwnHost);
   const bool listed =
     std::find(aHosts.begin(), aHosts.end(), aOwnHost) != aHosts.end();
-  const std::size_t before = static_cast<std::size_t>(
+  const std::size_t hostsBefore = static_cast<std::size_t>(
     std::count_if(aHosts.begin(), aHosts.end(), [&](const std::string& aHost) {
       return std::pair<std::uint64_t, std::string_view>(Hash(aHost, seed),
                                                         aHost) < own;
     }));
   const double rate = *aLimit.mPerSecond;
-  const double entries = static_cast<double>(std::max(aHosts.size(), aEntries));
+  const double gateways =
+    static_cast<double>(std::max(aHosts.size(), aGateways));
   const double senders =
-    std::min(entries, kMinSenders + std::floor(kSendersPerRate * rate));
-  const double rank = static_cast<double>(listed ? before : aHosts.size());
+    std::min(gateways, kMinSenders + std::floor(kSendersPerRate * rate));
+  const double rank = static_cast<double>(listed ? hostsBefore : aHosts.size());
   aLimit.mTokens = aLimit.mOwnPerSecond > 0 ? TokensAt(aLimit, aNow) : 0;
   aLimit.mRefilled = aNow;
   aLimit.mOwnPerSecond = rank < senders ? kUsedFraction * rate / senders : 0;
--- a/Libraries/LibFleet/Manifest.cpp
+++ b/Libraries/LibFleet/Manifest.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Key of a route in the index; host names are compared without case.
 std::string
 RouteKey(std::string_view aHost, std::string_view aPrefix)
 {
@@ -18,7 +19,6 @@
   return key;
 }
 
-/// The host without a port.
 std::string_view
 HostWithoutPort(std::string_view aHost)
 {
@@ -30,15 +30,15 @@
 manifest_index::manifest_index(manifest aManifest)
   : mManifest(std::move(aManifest))
 {
-  for (const route& one : mManifest.mRoutes) {
-    mRoutes.emplace(RouteKey(one.mHost, one.mPrefix), &one);
+  for (const route& item : mManifest.mRoutes) {
+    mRoutes.emplace(RouteKey(item.mHost, item.mPrefix), &item);
   }
-  for (const service& one : mManifest.mServices) {
-    mServices.emplace(one.mName, &one);
+  for (const service& item : mManifest.mServices) {
+    mServices.emplace(item.mName, &item);
   }
-  for (const organisation& one : mManifest.mOrganisations) {
-    for (const std::string& key : one.mKeys) {
-      mKeys.emplace(key, &one);
+  for (const organisation& item : mManifest.mOrganisations) {
+    for (const std::string& key : item.mKeys) {
+      mKeys.emplace(key, &item);
     }
   }
 }
@@ -49,7 +49,8 @@
 {
   std::string_view path = aTarget.substr(0, aTarget.find('?'));
   const std::string_view host = HostWithoutPort(aHost);
-  // Each prefix ends with a slash, so only the path's slashes can end one.
+  // Each prefix ends with a slash, so only the parts of the path up to one of
+  // its slashes can match.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     path = path.substr(0, slash + 1);
@@ -80,22 +81,23 @@
 }
 
 bool
-IsNewer(const manifest_pointer& aHeld, const manifest& aOffered)
+IsNewer(const manifest_pointer& aCurrent, const manifest& aOffered)
 {
-  return aHeld == nullptr || aOffered.mVersion > aHeld->Manifest().mVersion;
+  return aCurrent == nullptr ||
+         aOffered.mVersion > aCurrent->Manifest().mVersion;
 }
 
 const std::string&
-ChooseService(const route& aRoute, double aDraw)
+ChooseService(const route& aRoute, double aRandom)
 {
-  double sum = 0;
+  double totalWeight = 0;
   for (const weighted_service& share : aRoute.mServices) {
-    sum += share.mWeight;
+    totalWeight += share.mWeight;
   }
-  double left = aDraw * sum;
+  double remaining = aRandom * totalWeight;
   for (const weighted_service& share : aRoute.mServices) {
-    left -= share.mWeight;
-    if (left < 0) {
+    remaining -= share.mWeight;
+    if (remaining < 0) {
       return share.mService;
     }
   }
--- a/Libraries/LibFleet/Manifest.h
+++ b/Libraries/LibFleet/Manifest.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The settings in force, as the operator accepted them: routes, services,
-/// organisations' keys, limits. Immutable; a new version replaces the whole.
+/// The manifest: routes, services, organisations' API keys and limits, as the
+/// operator accepted them. A manifest is immutable; a new version replaces it
+/// as a whole.
 
 #include "LibFleet/EngineCost.h"
 
@@ -17,8 +18,8 @@
 enum class call_kind : std::uint8_t
 {
   Idempotent, ///< May run more than once.
-  AtMostOnce, ///< May never run twice.
-  Stream,     ///< A series of events.
+  AtMostOnce, ///< Must never run twice.
+  Stream,     ///< Answered by a stream of events.
 };
 
 struct weighted_service
@@ -29,20 +30,21 @@
   bool operator==(const weighted_service&) const = default;
 };
 
+/// How requests to one host and path prefix are handled.
 struct route
 {
   std::string mName;
   std::string mHost;
   std::string mPrefix; ///< Begins and ends with a slash.
   call_kind mKind = call_kind::AtMostOnce;
-  duration mTimeout{};      ///< A caller gets its final answer within it.
-  duration mObjective{};    ///< An answer within it is in time.
-  duration mLongestPause{}; ///< Between two events; 0 if not declared.
+  duration mTimeout{};      ///< The caller gets a final answer within this.
+  duration mObjective{};    ///< Latency target of the answer.
+  duration mLongestPause{}; ///< Between two events; 0 if not set.
   int mPriority = 0;        ///< 0 is the most urgent.
   std::vector<weighted_service> mServices;
   unsigned mMaxAttempts = 1; ///< Endpoints that one request may be sent to.
-  bool mAuthExempt = false;  ///< Serves callers that show no key.
-  bool mResumable = false;   ///< A stream may go on at another endpoint.
+  bool mAuthExempt = false;  ///< Serves callers without an API key.
+  bool mResumable = false;   ///< Another endpoint may continue a stream.
 
   bool operator==(const route&) const = default;
 };
@@ -50,13 +52,13 @@
 struct service
 {
   std::string mName;
-  unsigned mMaxConnections = 0; ///< For each endpoint, of all callers; 0: any.
+  unsigned mMaxConnections = 0; ///< Per endpoint, all callers; 0: no limit.
   std::optional<engine_timing> mEngine; ///< Model engines only.
 
   bool operator==(const service&) const = default;
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on callers' requests and connections.
 struct caller_limits
 {
   std::size_t mHeadBytes = 0;
@@ -70,7 +72,7 @@
 struct organisation
 {
   std::string mName;
-  std::optional<int> mPriority; ///< Comes before the route's.
+  std::optional<int> mPriority; ///< Overrides the route's.
   std::vector<std::string> mKeys;
 
   bool operator==(const organisation&) const = default;
@@ -81,13 +83,13 @@
   std::uint64_t mVersion = 0;
   std::vector<route> mRoutes;
   std::vector<service> mServices;
-  std::vector<organisation> mOrganisations; ///< None: no keys are asked for.
+  std::vector<organisation> mOrganisations; ///< If empty, no key is needed.
   caller_limits mLimits;
 
   bool operator==(const manifest&) const = default;
 };
 
-/// A manifest with its look-up tables.
+/// A manifest with indexes for look-up.
 class manifest_index
 {
 public:
@@ -96,7 +98,7 @@
   manifest_index& operator=(const manifest_index&) = delete;
 
   const manifest& Manifest() const { return mManifest; }
-  /// The route of this host with the longest prefix that begins the path.
+  /// The route of this host with the longest prefix of the path; null if none.
   const route* FindRoute(std::string_view aHost,
                          std::string_view aTarget) const;
   const service* FindService(std::string_view aName) const;
@@ -111,14 +113,14 @@
 
 using manifest_pointer = std::shared_ptr<const manifest_index>;
 
-/// True if `aOffered` is to replace `aHeld`: versions only go forward, so that
-/// a late or stale answer never brings an old manifest back.
+/// True if `aOffered` has a newer version than `aCurrent`, or there is none
+/// yet. Keeps a late or stale answer from restoring an old manifest.
 bool
-IsNewer(const manifest_pointer& aHeld, const manifest& aOffered);
+IsNewer(const manifest_pointer& aCurrent, const manifest& aOffered);
 
-/// The service that a request goes to, by the route's weights; `aDraw` is
-/// uniform in [0, 1).
+/// Chooses the service of a request at random, by the route's weights;
+/// `aRandom` is uniform in [0, 1).
 const std::string&
-ChooseService(const route& aRoute, double aDraw);
+ChooseService(const route& aRoute, double aRandom);
 
 } // namespace primrose
--- a/Libraries/LibFleet/PeerSendBudget.cpp
+++ b/Libraries/LibFleet/PeerSendBudget.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// The operators allow 15 KB a second for control; beats take the rest.
+/// Operators allow 15 KB a second for control traffic; heartbeats take the
+/// rest.
 constexpr double kBytesPerSecond = 11e3;
-/// What a minute saves may be spent at once: bursts last ten seconds, and the
-/// bound is on the mean.
+/// The unused bytes of a minute may be spent at once: bursts last ten seconds,
+/// and the operators' limit is on the mean.
 constexpr double kMaxSavedSeconds = 60;
 constexpr double kMaxSavedBytes = kMaxSavedSeconds * kBytesPerSecond;
 
@@ -36,24 +37,24 @@
                    time_point aNow)
 {
   const double bytes = static_cast<double>(std::max<std::size_t>(aBytes, 1));
-  const double left = AvailableBytes(aBudget, aNow);
+  const double available = AvailableBytes(aBudget, aNow);
   const std::size_t affordable =
-    static_cast<std::size_t>(std::max(0.0, left) / bytes);
-  const std::size_t told =
+    static_cast<std::size_t>(std::max(0.0, available) / bytes);
+  const std::size_t recipients =
     aPeers <= kFullBroadcastPeers
       ? aPeers
       : std::min(aPeers, std::max(kMinRecipients, affordable));
-  ChargePeerBytes(aBudget, told * std::max<std::size_t>(aBytes, 1), aNow);
-  return told;
+  ChargePeerBytes(aBudget, recipients * std::max<std::size_t>(aBytes, 1), aNow);
+  return recipients;
 }
 
 void
 ChargePeerBytes(peer_send_budget& aBudget, std::size_t aBytes, time_point aNow)
 {
-  const double left = AvailableBytes(aBudget, aNow);
+  const double available = AvailableBytes(aBudget, aNow);
   aBudget.mAt = aNow;
   aBudget.mBytes =
-    std::max(-kMaxSavedBytes, left - static_cast<double>(aBytes));
+    std::max(-kMaxSavedBytes, available - static_cast<double>(aBytes));
 }
 
 } // namespace primrose
--- a/Libraries/LibFleet/PeerSendBudget.h
+++ b/Libraries/LibFleet/PeerSendBudget.h
@@ -1,47 +1,49 @@
 #pragma once
 
-/// How many of the peers whom a placement concerns (LibFleet/EngineSubset) an
-/// entry tells of it.
+/// Byte budget for the datagrams that a gateway sends to its peers about its
+/// placements. It decides how many of the peers that a placement concerns
+/// (LibFleet/EngineSubset) are notified.
 ///
-/// A prompt that is divided concerns more peers than a short one, so what that
-/// costs is bounded by bytes. A bound on each second alone fails when it
-/// matters: in a burst each entry would know a third of the placements, and
-/// several would give the same engine its last slot. So what quiet seconds did
-/// not need may be spent in a burst.
+/// The limit is in bytes because a divided prompt concerns more peers than a
+/// short one. A limit on each second alone was too strict in bursts: each
+/// gateway received only a third of the placements, and several gateways took
+/// the same engine's last slot. Unused bytes are therefore saved, as in a token
+/// bucket, and may be spent in a burst.
 
 #include "LibCore/LibCore.h"
 
 namespace primrose {
 
-/// Up to so many peers, each is told, whatever it costs.
+/// With up to this many peers all are notified, whatever it costs.
 inline constexpr std::size_t kFullBroadcastPeers = 32;
-/// However little is left, so many are told; what that is worth at 300 entries
-/// stands in docs/CAPACITY.md.
+/// At least this many are notified, however little is left. docs/CAPACITY.md
+/// has the effect with 300 gateways.
 inline constexpr std::size_t kMinRecipients = 12;
 
-/// The peers that an entry shows at each beat that it is there.
+/// Number of peers to which one heartbeat is sent.
 std::size_t
 PeersPerHeartbeat(std::size_t aPeers);
 
-/// What one entry may still send; empty at the clock's epoch.
+/// Bytes that one gateway may still send. A default-constructed budget is empty
+/// at the clock's epoch.
 struct peer_send_budget
 {
-  double mBytes =
-    0;              ///< Below 0 where the fewest peers cost more than is there.
-  time_point mAt{}; ///< As of then.
+  /// Negative if the minimum number of recipients cost more than was left.
+  double mBytes = 0;
+  time_point mAt{}; ///< When `mBytes` was computed.
 
   bool operator==(const peer_send_budget&) const = default;
 };
 
-/// The peers, out of `aPeers`, that a datagram of `aBytes` is sent to now. What
-/// it costs is taken out of the budget.
+/// Number of recipients, out of `aPeers`, for a datagram of `aBytes` sent now.
+/// Takes their cost from the budget.
 std::size_t
 TakeRecipientCount(peer_send_budget& aBudget,
                    std::size_t aPeers,
                    std::size_t aBytes,
                    time_point aNow);
 
-/// Takes bytes out of the budget that were sent whatever it holds.
+/// Charges bytes that were sent whatever was left of the budget.
 void
 ChargePeerBytes(peer_send_budget& aBudget, std::size_t aBytes, time_point aNow);
 
--- a/Libraries/LibFleet/Quarantine.h
+++ b/Libraries/LibFleet/Quarantine.h
@@ -1,15 +1,18 @@
 #pragma once
 
-/// Requests that end the endpoints which run them, kept away from the rest.
+/// Quarantine of requests that crash the endpoints which run them.
 ///
-/// Such a request comes again, at any entry, and each time takes an endpoint
-/// and all that works there with it. No entry sees enough of that by itself, so
-/// all count together: an end of an endpoint under a request is told to every
-/// entry, and what has ended three is not sent any more. An endpoint that ends
-/// takes sound requests with it, which look the same for a moment. So what has
-/// been answered lately is not suspected; what had begun to be answered where
-/// it ended counts less; and what is held is tried again, seldom, and by one
-/// entry of the whole fleet.
+/// Callers send such a request again, to any gateway, and each time it takes
+/// down one endpoint with everything in flight there. No gateway alone sees
+/// enough of these crashes, so each crash report is broadcast to all gateways,
+/// and a request with three crashes is no longer sent.
+///
+/// A crash also hits innocent requests in flight at the same endpoint, which
+/// look the same as the cause at first. Therefore:
+/// - a request that was answered recently is not suspected;
+/// - a crash counts less if a part of the answer had arrived from there;
+/// - a quarantined request gets a few trial sends, far apart, each made by only
+///   one gateway of the fleet.
 ///
 /// No I/O, no clock.
 
@@ -21,62 +24,63 @@
 
 namespace primrose {
 
-/// An endpoint ended, in no planned way, with a request in flight there.
+/// An endpoint ended, unplanned, with this request in flight there.
 struct crash_report
 {
   request_digest mRequest = 0;
   engine_key mEndpoint = 0;
-  /// A part of the answer had come from there. What ends an endpoint does so
-  /// when it begins to run; what gets further is more likely a bystander.
+  /// A part of the answer had arrived from there. A request that crashes an
+  /// endpoint does so when it begins to run; one that gets further was more
+  /// likely only in flight beside the cause.
   bool mAnswering = false;
 
   bool operator==(const crash_report&) const = default;
 };
 
-/// A request that is held, as entries tell each other of it.
+/// A quarantined request, as gateways send it to each other.
 struct quarantined_request
 {
   request_digest mRequest = 0;
-  unsigned mTrials = 0; ///< That have been made since it was held.
-  duration mAge{};      ///< Since an endpoint ended under it, or it was held.
+  unsigned mTrials = 0; ///< Trials made since it was quarantined.
+  duration mAge{};      ///< Time since its last crash or its quarantine.
 
   bool operator==(const quarantined_request&) const = default;
 };
 
-/// What points to a request; it is held from `kQuarantineThreshold` on. Three
-/// ends tell, or four where some had begun to answer.
+/// Sum over the crashes of a request. At `kQuarantineThreshold` the request is
+/// quarantined: after three crashes, or four if some came while answering.
 using crash_score = unsigned;
 inline constexpr crash_score kQuarantineThreshold = 12;
 inline constexpr crash_score kCrashScore = 4;
 inline constexpr crash_score kCrashScoreWhileAnswering = 3;
 
-/// What one end adds.
+/// Score of one crash.
 constexpr crash_score
 ScoreOfCrash(bool aAnswering)
 {
   return aAnswering ? kCrashScoreWhileAnswering : kCrashScore;
 }
 
-/// Trials of a held request by the whole fleet. Operators allow three more
-/// sends of a request that has ended three endpoints; one may have been on its
-/// way.
+/// Trials of a quarantined request by the whole fleet. Operators allow three
+/// more sends of a request that has crashed three endpoints; one of them may
+/// already be in flight.
 inline constexpr unsigned kMaxTrials = 2;
 
-/// One request that endpoints have ended under.
+/// A request with crashes, below the threshold.
 struct suspected_request
 {
   std::vector<crash_report> mReports; ///< One for each endpoint.
-  time_point mLast{};
+  time_point mLastCrash{};
 
   bool operator==(const suspected_request&) const = default;
 };
 
-/// One request that is not sent any more.
+/// State of one quarantined request.
 struct quarantine_record
 {
   unsigned mTrials = 0;
   time_point mNextTrial{};
-  time_point mLast{};
+  time_point mLastCrash{}; ///< Last crash, or when it was quarantined.
 
   bool operator==(const quarantine_record&) const = default;
 };
@@ -84,51 +88,63 @@
 struct quarantine
 {
   std::unordered_map<request_digest, suspected_request> mSuspects;
+  /// The quarantined requests.
   std::unordered_map<request_digest, quarantine_record> mHeld;
-  /// Answered lately, and when last; `mAnsweredOrder` has the oldest first.
-  std::unordered_map<request_digest, time_point> mServed;
+  /// Requests answered recently, with the time of the last answer;
+  /// `mAnsweredOrder` has the oldest answer first.
+  std::unordered_map<request_digest, time_point> mAnswered;
   std::deque<std::pair<time_point, request_digest>> mAnsweredOrder;
-  /// Said to be sound by another entry, and when: what is still on its way does
-  /// not count against them.
+  /// Requests that a peer has cleared, and when. Reports that were still in
+  /// flight then are ignored.
   std::unordered_map<request_digest, time_point> mCleared;
 };
 
-/// What a report changed.
+/// What a crash report changed.
 enum class crash_effect : std::uint8_t
 {
-  Nothing, ///< It was known.
-  Recorded,
-  Held,    ///< It was the one that told.
-  Refuted, ///< The request was answered lately: it ends nobody.
+  Nothing,  ///< The report was known, or a peer has cleared the request.
+  Recorded, ///< The report was added; nothing newly quarantined.
+  Held,     ///< The report reached the threshold: newly quarantined.
+  Refuted,  ///< Ignored: the request was answered here recently.
 };
 
 crash_effect
-RecordCrash(quarantine& aBoard, const crash_report& aReport, time_point aNow);
+RecordCrash(quarantine& aQuarantine,
+            const crash_report& aReport,
+            time_point aNow);
 
-/// The request was answered whole, here. True if it was held, or suspected of
-/// more than one end, so that others have to hear of it.
+/// Records that the request was answered completely, here. True if it was
+/// quarantined or had crashes at more than one endpoint, so that the peers must
+/// be notified.
 bool
-RecordAnswered(quarantine& aBoard, request_digest aRequest, time_point aNow);
+RecordAnswered(quarantine& aQuarantine,
+               request_digest aRequest,
+               time_point aNow);
 
-/// Another entry says that it answered the request. True if it was held.
+/// Records that a peer cleared the request because it answered it. True if the
+/// request was quarantined.
 bool
-RecordCleared(quarantine& aBoard, request_digest aRequest, time_point aNow);
+RecordCleared(quarantine& aQuarantine,
+              request_digest aRequest,
+              time_point aNow);
 
-/// True if it was answered here so lately that no report of it is believed.
+/// True if the request was answered here so recently that crash reports about
+/// it are ignored.
 bool
-AnsweredRecently(const quarantine& aBoard,
+AnsweredRecently(const quarantine& aQuarantine,
                  request_digest aRequest,
                  time_point aNow);
 
-/// Another entry, or the platform's table, has it held. True if that is new.
+/// Records that a peer, or the platform's table, has the request quarantined.
+/// True if it was not quarantined here before.
 bool
-RecordQuarantined(quarantine& aBoard,
-                  const quarantined_request& aHeld,
+RecordQuarantined(quarantine& aQuarantine,
+                  const quarantined_request& aReceived,
                   time_point aNow);
 
-/// This trial of a held request has been made, by whichever entry.
+/// Records that some gateway has made the trial with this number.
 void
-RecordTrial(quarantine& aBoard,
+RecordTrial(quarantine& aQuarantine,
             request_digest aRequest,
             unsigned aTrial,
             time_point aNow);
@@ -138,32 +154,35 @@
 {
   Send,
   Refuse,
-  Try, ///< It may be sent if no other entry has taken this trial.
+  Try, ///< Send as a trial, if no other gateway has claimed this trial.
 };
 
-/// `aPending` is what ends that are not certain yet would add.
+/// `aPending` is the score of crashes that are not confirmed yet.
 quarantine_verdict
-QuarantineVerdictFor(const quarantine& aBoard,
+QuarantineVerdictFor(const quarantine& aQuarantine,
                      request_digest aRequest,
                      crash_score aPending,
                      time_point aNow);
 
-/// Until a refused request may be tried again; a day if it is not at all.
+/// Time until a refused request may be sent as a trial; up to a day if no trial
+/// is left. If only unconfirmed crashes made it refused, the delay of a first
+/// trial.
 duration
-TimeUntilTrial(const quarantine& aBoard,
+TimeUntilTrial(const quarantine& aQuarantine,
                request_digest aRequest,
                time_point aNow);
 
-/// All that is held, to be told.
+/// All quarantined requests, to be sent to a peer.
 std::vector<quarantined_request>
-QuarantinedRequests(const quarantine& aBoard, time_point aNow);
+QuarantinedRequests(const quarantine& aQuarantine, time_point aNow);
 
-/// The same at two entries that hold the same with the same trials; never 0.
+/// Equal at two gateways that have the same requests quarantined with the same
+/// numbers of trials; never 0.
 std::uint64_t
-QuarantineChecksum(const quarantine& aBoard);
+QuarantineChecksum(const quarantine& aQuarantine);
 
-/// Forgets what is old. Gives the requests that are not held any more.
+/// Removes expired state. Returns the requests whose quarantine expired.
 std::vector<request_digest>
-ExpireCrashRecords(quarantine& aBoard, time_point aNow);
+ExpireCrashRecords(quarantine& aQuarantine, time_point aNow);
 
 } // namespace primrose
--- a/Libraries/LibFleet/RequestDigest.cpp
+++ b/Libraries/LibFleet/RequestDigest.cpp
@@ -11,8 +11,8 @@
 request_digest
 DigestOf(const request_identity& aIdentity)
 {
-  // Each part's hash is the seed of the next, so that no two parts can be read
-  // as one another.
+  // Each part's hash is the seed of the next, so that moving text from one part
+  // to another changes the digest.
   request_digest digest = 0;
   for (const std::string_view part : { aIdentity.mHost,
                                        aIdentity.mTarget,
--- a/Libraries/LibFleet/RequestDigest.h
+++ b/Libraries/LibFleet/RequestDigest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Tells that a request is one that came before, at whichever entry.
+/// Recognizes a request that a caller sends again, at any gateway.
 
 #include <cstdint>
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace primrose {
 
-/// Names a request by what stays when a caller sends it again: its id does not.
+/// Hash of the parts of a request that stay the same when a caller sends it
+/// again. The request id is not among them, since it changes.
 using request_digest = std::uint64_t;
 
-/// What stays of a request: where it goes, whose it is, and what it says.
+/// The parts of a request that its digest covers.
 struct request_identity
 {
   std::string_view mHost;
@@ -22,11 +23,12 @@
   bool operator==(const request_identity&) const = default;
 };
 
-/// The same at all entries and after each of their starts.
+/// The same in all gateways and after restarts.
 request_digest
 DigestOf(const request_identity& aIdentity);
 
-/// The digest as logs, metrics and rows of the platform show it: 16 digits.
+/// The digest as logs, metrics and rows of the platform show it: 16
+/// hexadecimal digits.
 std::string
 DigestText(request_digest aDigest);
 
--- a/Libraries/LibFleet/RetryBudget.cpp
+++ b/Libraries/LibFleet/RetryBudget.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Part of the bound that is spent: the rest covers entries that were killed
-/// and begin a new record within the same window.
+/// Fraction of the budget that is used. The rest covers gateways that were
+/// killed and start with an empty history within the same window.
 constexpr double kUsableFraction = 0.6;
 
 void
-Forget(std::deque<time_point>& aTimes, time_point aBefore)
+DropBefore(std::deque<time_point>& aTimes, time_point aBefore)
 {
   while (!aTimes.empty() && aTimes.front() < aBefore) {
     aTimes.pop_front();
@@ -21,31 +21,32 @@
 } // namespace
 
 void
-RecordRequestForRetries(retry_history& aRecord,
-                        const retry_limits& aBound,
+RecordRequestForRetries(retry_history& aHistory,
+                        const retry_limits& aLimits,
                         time_point aNow)
 {
-  Forget(aRecord.mRequests, aNow - aBound.mWindow);
-  aRecord.mRequests.push_back(aNow);
+  DropBefore(aHistory.mRequests, aNow - aLimits.mWindow);
+  aHistory.mRequests.push_back(aNow);
 }
 
 bool
-TakeRetry(retry_history& aRecord,
-          const retry_limits& aBound,
-          std::size_t aEntries,
+TakeRetry(retry_history& aHistory,
+          const retry_limits& aLimits,
+          std::size_t aGateways,
           time_point aNow)
 {
-  Forget(aRecord.mRequests, aNow - aBound.mWindow);
-  Forget(aRecord.mRepeats, aNow - aBound.mWindow);
-  const double share = aBound.mRetriesPerWindow /
-                       static_cast<double>(std::max<std::size_t>(aEntries, 1));
+  DropBefore(aHistory.mRequests, aNow - aLimits.mWindow);
+  DropBefore(aHistory.mRetries, aNow - aLimits.mWindow);
+  const double share = aLimits.mRetriesPerWindow /
+                       static_cast<double>(std::max<std::size_t>(aGateways, 1));
   const double allowed =
-    kUsableFraction * (share + aBound.mRetriesPerRequest *
-                                 static_cast<double>(aRecord.mRequests.size()));
-  if (static_cast<double>(aRecord.mRepeats.size()) + 1 > allowed) {
+    kUsableFraction *
+    (share + aLimits.mRetriesPerRequest *
+               static_cast<double>(aHistory.mRequests.size()));
+  if (static_cast<double>(aHistory.mRetries.size()) + 1 > allowed) {
     return false;
   }
-  aRecord.mRepeats.push_back(aNow);
+  aHistory.mRetries.push_back(aNow);
   return true;
 }
 
--- a/Libraries/LibFleet/RetryBudget.h
+++ b/Libraries/LibFleet/RetryBudget.h
@@ -1,8 +1,10 @@
 #pragma once
 
-/// The right to send a request to one more endpoint. All entries share one
-/// budget for each service without a counter: each keeps to its own share of
-/// the fixed part and earns the rest with the requests that it takes itself.
+/// Limits how many requests are sent again to another endpoint.
+///
+/// All gateways share one retry budget for each service, without a shared
+/// counter. It has a fixed part, of which each gateway uses an equal share, and
+/// a part proportional to the requests that the gateway receives itself.
 
 #include "LibCore/LibCore.h"
 
@@ -10,33 +12,34 @@
 
 namespace primrose {
 
-/// The operator's bound on repeats, for all entries together.
+/// The operator's limits on retries, for all gateways together.
 struct retry_limits
 {
-  double mRetriesPerRequest = 0; ///< Repeats allowed for each request.
-  double mRetriesPerWindow = 0;  ///< Besides, in each window.
+  double mRetriesPerRequest = 0;
+  double mRetriesPerWindow = 0; ///< Allowed in addition, in each window.
   duration mWindow{};
 
   bool operator==(const retry_limits&) const = default;
 };
 
-/// One entry's record of one service.
+/// Requests and retries of one service at one gateway, within the window.
 struct retry_history
 {
   std::deque<time_point> mRequests;
-  std::deque<time_point> mRepeats;
+  std::deque<time_point> mRetries;
 };
 
 void
-RecordRequestForRetries(retry_history& aRecord,
-                        const retry_limits& aBound,
+RecordRequestForRetries(retry_history& aHistory,
+                        const retry_limits& aLimits,
                         time_point aNow);
 
-/// Takes one repeat if the share of one of `aEntries` entries allows it.
+/// Takes one retry from the budget if this gateway's share, as one of
+/// `aGateways`, allows it. True if taken.
 bool
-TakeRetry(retry_history& aRecord,
-          const retry_limits& aBound,
-          std::size_t aEntries,
+TakeRetry(retry_history& aHistory,
+          const retry_limits& aLimits,
+          std::size_t aGateways,
           time_point aNow);
 
 } // namespace primrose
--- a/Libraries/LibFleet/StorePolling.h
+++ b/Libraries/LibFleet/StorePolling.h
@@ -1,8 +1,10 @@
 #pragma once
 
-/// How long an entry waits for what the platform's store has to tell it. A
-/// connection that went silent, or an answer that was lost, gives no error:
-/// only an answer that is overdue shows it, or a peer that knows more.
+/// Timing of a gateway's reads from the platform's store: the duration of long
+/// polls, the timeout of an overdue answer, and the back-off after failures.
+///
+/// A connection that stopped delivering, or a lost answer, causes no error. It
+/// shows only in an overdue answer, or in a peer with newer data.
 
 #include "LibCore/LibCore.h"
 
@@ -10,27 +12,29 @@
 
 namespace primrose {
 
-/// How long the store may hold a question about changes, of an entry with so
-/// many peers. With peers each asks less often, since the first one that hears
-/// of a change tells the others. That holds only while they ask at different
-/// times; a change answers all their questions at one moment. So the first
-/// question after a change is held for a drawn part of the time (`aDraw`, 0 to
-/// 1), which spreads those that follow it too.
+/// How long the store may hold a long poll for changes by a gateway with
+/// `aPeers` peers.
+///
+/// The first gateway that receives a change notifies its peers, so with more
+/// peers each may poll less often. That works only while their polls end at
+/// different times, but a change answers all of them at one moment. The first
+/// poll after a change therefore gets a random part of the time, by `aRandom`
+/// (0 to 1), which also spreads the polls that follow it.
 duration
-LongPollWait(std::size_t aPeers, std::optional<double> aDraw);
+LongPollWait(std::size_t aPeers, std::optional<double> aRandom);
 
-/// Until the store is asked anew for a table of which a peer knows more, after
-/// so many such questions that brought nothing newer. A store that is slow must
-/// be given longer than the last time, or each question gives up the one
-/// before.
+/// Timeout after which a pending read of a table is abandoned and sent again,
+/// if a peer has newer rows. `aFailedAttempts` such reads brought nothing newer
+/// so far. The timeout grows with them: otherwise, with a slow store, each read
+/// would abandon the one before.
 duration
-CatchUpTimeout(unsigned aAskedInVain);
+CatchUpTimeout(unsigned aFailedAttempts);
 
-/// Until an entry with so many peers asks again after so many failures in a
-/// row; `aDraw` (0 to 1) spreads entries that failed at one moment. Of many
-/// entries each waits longer: the first that reaches the store again tells the
-/// others, who then ask a peer at once.
+/// Delay before the next read after `aFailures` failures in a row; `aRandom` (0
+/// to 1) spreads gateways that failed at the same moment. With more peers each
+/// gateway waits longer: the first that reaches the store again notifies the
+/// others, which then ask a peer at once.
 duration
-StoreBackoff(unsigned aFailures, std::size_t aPeers, double aDraw);
+StoreBackoff(unsigned aFailures, std::size_t aPeers, double aRandom);
 
 } // namespace primrose
--- a/Libraries/LibFleet/StreamTimeouts.cpp
+++ b/Libraries/LibFleet/StreamTimeouts.cpp
@@ -6,18 +6,20 @@
 
 namespace {
 
-/// A first event may take half as long again as expected and this much more; a
-/// pause so many times the allowed one, but no less than this.
+/// Without a divided prefill, the first event may take half as long again as
+/// expected, plus `kMinStallTimeout`. A pause may last `kStallFactor` times the
+/// allowed one, and at least `kMinStallTimeout`.
 constexpr double kUndividedTimeoutFactor = 1.5;
-constexpr duration kShortest = std::chrono::milliseconds(600);
+constexpr duration kMinStallTimeout = std::chrono::milliseconds(600);
 constexpr double kStallFactor = 2.5;
-/// To read a short prompt again elsewhere costs little; to read a long one
-/// again costs as much as it did, so there an engine that is merely slower than
-/// expected must not be given up.
+/// With a divided prefill. Repeating the prefill of a short prompt on another
+/// engine costs little, but a long one costs as much again, so an engine that
+/// is merely slower than expected must not be given up.
 constexpr double kDividedTimeoutFactor = 2;
-/// A caller leaves a stream that is silent for two seconds, four objectives or
-/// eight pauses, whichever is longest. Of that another engine needs a third to
-/// read the prompt and begin.
+/// A caller abandons a stream without events after two seconds, four times the
+/// latency target or eight times the allowed pause, whichever is longest. The
+/// attempt may take this share of that time; another engine needs the remaining
+/// third for the prefill and the first event.
 constexpr duration kCallerMinTimeout = std::chrono::seconds(2);
 constexpr int kCallerObjectiveFactor = 4;
 constexpr int kCallerPauseFactor = 8;
@@ -34,21 +36,21 @@
     return FromSeconds(kDividedTimeoutFactor * aExpectedMs / kMsPerSecond) +
            aWork.mObjective;
   }
-  const duration callers =
+  const duration callerTimeout =
     std::max({ kCallerMinTimeout,
                kCallerObjectiveFactor * aWork.mObjective,
                kCallerPauseFactor * aWork.mLongestPause });
   return std::min(
     FromSeconds(kUndividedTimeoutFactor * aExpectedMs / kMsPerSecond) +
-      kShortest,
-    FromSeconds(kCallerTimeoutShare * Seconds(callers)));
+      kMinStallTimeout,
+    FromSeconds(kCallerTimeoutShare * Seconds(callerTimeout)));
 }
 
 duration
 StallTimeout(duration aAllowedPause)
 {
   return std::max(FromSeconds(kStallFactor * Seconds(aAllowedPause)),
-                  kShortest);
+                  kMinStallTimeout);
 }
 
 } // namespace primrose
--- a/Libraries/LibFleet/StreamTimeouts.h
+++ b/Libraries/LibFleet/StreamTimeouts.h
@@ -1,19 +1,22 @@
 #pragma once
 
-/// How long an engine may say nothing before a stream is given up there and
-/// asked for elsewhere. An engine whose machine went dark resets nothing; only
-/// its silence shows it. Reading that the engine is known to have been given
-/// comes on top of these.
+/// Response timeouts of streams: how long an engine may send nothing before the
+/// attempt is given up and the request sent to another engine.
+///
+/// When an engine's machine loses power or network, its connections are not
+/// reset, so only a timeout detects it. The caller adds the time for prefill
+/// that the engine is known to have been given.
 
 #include "LibFleet/EnginePlacement.h"
 
 namespace primrose {
 
-/// Until the first event of a prompt that is expected after `aExpectedMs`.
+/// Timeout for the first event of a prompt that is expected after
+/// `aExpectedMs`. `aDivided`: the prefill is divided over several engines.
 duration
 FirstEventTimeout(const engine_work& aWork, double aExpectedMs, bool aDivided);
 
-/// Between two events of a stream that may pause for so long.
+/// Timeout between two events of a stream that may pause for `aAllowedPause`.
 duration
 StallTimeout(duration aAllowedPause);
 
--- a/Tests/Unit/FleetStateTest.cpp
+++ b/Tests/Unit/FleetStateTest.cpp
@@ -37,61 +37,62 @@
   }
 
 public:
-  /// Symptom: requests reach an endpoint that left seconds ago.
-  /// Sequence: the row is removed; the platform loses its history; the whole
-  /// list is read again, some seconds stale, with the row still in it.
-  /// Cause: an older revision replaced a newer one.
+  /// Guards against requests to an endpoint that left seconds ago. Its row is
+  /// removed, the platform's store loses its history of changes, and the full
+  /// list is read again from a stale copy that still has the row. The older
+  /// revision must not replace the newer one.
   void StaleRowDoesNotRestoreEndpoint()
   {
-    endpoint_board board;
-    (void)ApplyRow(board, { "e", 5, Listed("e") });
-    CPPUNIT_ASSERT(ApplyRow(board, { "e", 9, std::nullopt }) == listing::Left);
-    (void)ApplyWholeList(board, { { "e", 5, Listed("e") } }, 7);
-    CPPUNIT_ASSERT(board.mEndpoints.empty());
-    // A new report of the same id is newer than its removal.
-    CPPUNIT_ASSERT(ApplyRow(board, { "e", 12, Listed("e") }) ==
+    endpoint_board registry;
+    (void)ApplyRow(registry, { "e", 5, Listed("e") });
+    CPPUNIT_ASSERT(ApplyRow(registry, { "e", 9, std::nullopt }) ==
+                   listing::Left);
+    (void)ApplyWholeList(registry, { { "e", 5, Listed("e") } }, 7);
+    CPPUNIT_ASSERT(registry.mEndpoints.empty());
+    // A later row of the same id is newer than its removal.
+    CPPUNIT_ASSERT(ApplyRow(registry, { "e", 12, Listed("e") }) ==
                    listing::Joined);
   }
 
   void FullListRemovesMissingEndpoints()
   {
-    endpoint_board board;
-    (void)ApplyRow(board, { "a", 5, Listed("a") });
-    (void)ApplyRow(board, { "b", 6, Listed("b") });
-    // "c" was seen after the moment that the list shows.
-    (void)ApplyRow(board, { "c", 20, Listed("c") });
+    endpoint_board registry;
+    (void)ApplyRow(registry, { "a", 5, Listed("a") });
+    (void)ApplyRow(registry, { "b", 6, Listed("b") });
+    // The row of "c" is newer than the list.
+    (void)ApplyRow(registry, { "c", 20, Listed("c") });
     const std::vector<std::string> left =
-      ApplyWholeList(board, { { "b", 6, Listed("b") } }, 10);
+      ApplyWholeList(registry, { { "b", 6, Listed("b") } }, 10);
     CPPUNIT_ASSERT(left == std::vector<std::string>{ "a" });
-    CPPUNIT_ASSERT(board.mEndpoints.contains("b"));
-    CPPUNIT_ASSERT(board.mEndpoints.contains("c"));
+    CPPUNIT_ASSERT(registry.mEndpoints.contains("b"));
+    CPPUNIT_ASSERT(registry.mEndpoints.contains("c"));
   }
 
   void OlderManifestIsNotNewer()
   {
     manifest newer;
     newer.mVersion = 7;
-    const manifest_pointer held = std::make_shared<manifest_index>(newer);
+    const manifest_pointer current = std::make_shared<manifest_index>(newer);
     manifest older;
     older.mVersion = 6;
-    CPPUNIT_ASSERT(!IsNewer(held, older));
-    CPPUNIT_ASSERT(!IsNewer(held, newer));
+    CPPUNIT_ASSERT(!IsNewer(current, older));
+    CPPUNIT_ASSERT(!IsNewer(current, newer));
     older.mVersion = 8;
-    CPPUNIT_ASSERT(IsNewer(held, older));
+    CPPUNIT_ASSERT(IsNewer(current, older));
     CPPUNIT_ASSERT(IsNewer(nullptr, older));
   }
 
   void LongestPrefixWins()
   {
-    manifest m;
+    manifest accepted;
     for (const char* const prefix : { "/", "/a/", "/a/b/" }) {
       route r;
       r.mName = prefix;
       r.mHost = "Host.example";
       r.mPrefix = prefix;
-      m.mRoutes.push_back(r);
+      accepted.mRoutes.push_back(r);
     }
-    const manifest_index index(m);
+    const manifest_index index(accepted);
     CPPUNIT_ASSERT_EQUAL(
       std::string("/a/b/"),
       index.FindRoute("host.example", "/a/b/c?x=/z/")->mName);
@@ -113,14 +114,14 @@
 
   void GatewaysShareRetryBudget()
   {
-    const retry_limits bound{ 0.2, 100, std::chrono::seconds(10) };
+    const retry_limits limits{ 0.2, 100, std::chrono::seconds(10) };
     unsigned granted = 0;
-    constexpr std::size_t kEntries = 4;
-    for (std::size_t entry = 0; entry < kEntries; ++entry) {
-      retry_history record;
+    constexpr std::size_t kGateways = 4;
+    for (std::size_t gateway = 0; gateway < kGateways; ++gateway) {
+      retry_history history;
       for (int i = 0; i < 100; ++i) {
-        RecordRequestForRetries(record, bound, kStart);
-        granted += TakeRetry(record, bound, kEntries, kStart) ? 1U : 0U;
+        RecordRequestForRetries(history, limits, kStart);
+        granted += TakeRetry(history, limits, kGateways, kStart) ? 1U : 0U;
       }
     }
     CPPUNIT_ASSERT(granted > 50);
@@ -139,11 +140,11 @@
     CPPUNIT_ASSERT_EQUAL(0U, known.mHealth.mStrikes);
   }
 
-  /// Symptom: an engine that resets each connection takes 70 requests in a
-  /// second, and of 500 callers 87 are failed. Sequence: the engine breaks off
-  /// whatever it is sent, so that it seems free; 29 entries send to it. Cause:
-  /// each entry had to find out by itself, with requests whose second attempt
-  /// met the next such engine.
+  /// Guards against an engine that resets every connection and attracts
+  /// requests, since it seems idle: 29 gateways sent it 70 requests in a
+  /// second, and 87 of 500 callers got a failure. Each gateway had to detect it
+  /// by itself, with requests whose second attempt reached the next such
+  /// engine. Gateways therefore share their failure reports.
   void PeerReportsMakeEndpointAvoided()
   {
     known_endpoint known;
@@ -152,12 +153,12 @@
     CPPUNIT_ASSERT(!Avoided(known, kStart + milliseconds(60)));
     NoteTold(known.mHealth, kStart + milliseconds(150));
     CPPUNIT_ASSERT(Avoided(known, kStart + milliseconds(150)));
-    // What is told meanwhile of older attempts makes it no longer.
+    // Reports received meanwhile about older attempts do not extend it.
     const time_point until = known.mHealth.mAvoidUntil;
     NoteTold(known.mHealth, kStart + milliseconds(200));
     NoteTold(known.mHealth, kStart + milliseconds(250));
     CPPUNIT_ASSERT(known.mHealth.mAvoidUntil == until);
-    // What this entry saw itself counts like what it is told.
+    // This gateway's own failures count like those that peers report.
     known_endpoint own;
     NoteTold(own.mHealth, kStart);
     NoteSign(own.mHealth, endpoint_sign::Broke, kStart + milliseconds(60));
@@ -165,73 +166,72 @@
     CPPUNIT_ASSERT(Avoided(own, kStart + milliseconds(150)));
   }
 
-  /// Symptom: an entry that was cut off for five seconds refuses routes that
-  /// were added ten seconds ago, though it is in touch again. Sequence: forty
-  /// manifests of 45 KB are accepted meanwhile; the entry's link takes 20
-  /// Mbit/s; its peers tell of newer versions; it asks for the changes, and
-  /// asks anew before they have arrived, and so on. Cause: each question was
-  /// given the same 450 ms, and each gave up the one before.
+  /// Guards against a gateway that stays behind after a partition of five
+  /// seconds and refuses routes that were added ten seconds ago. Forty
+  /// manifests of 45 KB were accepted meanwhile, and its link takes 20 Mbit/s.
+  /// Peers announced newer versions, and it abandoned each read of the changes
+  /// before the answer had arrived, because the timeout was always 450 ms.
   void SlowStoreAnswerIsAwaited()
   {
     constexpr duration kArrives = milliseconds(720);
-    unsigned asked = 0;
+    unsigned attempts = 0;
     duration waited{};
-    while (asked < 10 && CatchUpTimeout(asked) < kArrives) {
-      waited += CatchUpTimeout(asked);
-      ++asked;
+    while (attempts < 10 && CatchUpTimeout(attempts) < kArrives) {
+      waited += CatchUpTimeout(attempts);
+      ++attempts;
     }
-    CPPUNIT_ASSERT(asked < 10);
+    CPPUNIT_ASSERT(attempts < 10);
     CPPUNIT_ASSERT(waited + kArrives < std::chrono::seconds(2));
-    // A question that has gone silent is still given up in time.
+    // A read whose answer was lost is still abandoned in time.
     CPPUNIT_ASSERT(CatchUpTimeout(0) == milliseconds(450));
     CPPUNIT_ASSERT(CatchUpTimeout(100) < std::chrono::seconds(2));
   }
 
-  /// Symptom, if it were met: no entry has a change for ten seconds, though new
-  /// connections to the store work. Sequence: a change answers the questions of
-  /// all entries; they ask again together; their connections go silent, all of
-  /// them. Cause: each relied on the others to hear first, and all waited for
-  /// the same moment.
+  /// Guards against a fleet that receives no change for ten seconds though new
+  /// connections to the store would work (not seen so far). A change answers
+  /// the long polls of all gateways, they poll again together, and all their
+  /// connections stop delivering. Without spread polls, each gateway would rely
+  /// on its peers to notice first, and all would wait until the same moment.
   void SomeGatewayDetectsSilentStore()
   {
     constexpr int kRepetitions = 1000;
     constexpr duration kMaxDetectionDelay = milliseconds(2300);
     random_engine random(1);
-    for (const std::size_t entries : { 4U, 7U, 27U, 100U, 350U }) {
+    for (const std::size_t gateways : { 4U, 7U, 27U, 100U, 350U }) {
       int late = 0;
       for (int i = 0; i < kRepetitions; ++i) {
-        duration first = LongPollWait(entries - 1, std::nullopt);
-        for (std::size_t entry = 0; entry < entries; ++entry) {
-          first = std::min(first, LongPollWait(entries - 1, Uniform(random)));
+        duration first = LongPollWait(gateways - 1, std::nullopt);
+        for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
+          first = std::min(first, LongPollWait(gateways - 1, Uniform(random)));
         }
         late += first > kMaxDetectionDelay ? 1 : 0;
       }
       CPPUNIT_ASSERT(late <= kRepetitions / 100);
     }
-    // Without a change they stay spread, and ask as seldom as before.
+    // Without a change the polls stay spread, and no more frequent.
     CPPUNIT_ASSERT(LongPollWait(26, std::nullopt) == std::chrono::seconds(10));
     CPPUNIT_ASSERT(LongPollWait(0, std::nullopt) == milliseconds(1800));
-    // More entries ask no more often together than these do.
+    // A larger fleet does not poll more often in total.
     CPPUNIT_ASSERT(LongPollWait(102, std::nullopt) == std::chrono::seconds(25));
     CPPUNIT_ASSERT(LongPollWait(26, 1.0) == LongPollWait(26, std::nullopt));
   }
 
-  /// Symptom: while the store turns 350 entries away they make all the calls
-  /// that it serves. Cause: each asked twice a second, however many they were.
-  /// Some entry must find the store back within a second all the
-  /// same, since changes are to be in force within two.
+  /// Guards against 350 gateways using up all calls that the store serves while
+  /// it refuses them, because each retried twice a second whatever the size of
+  /// the fleet. Some gateway must still detect the store's recovery within a
+  /// second, since changes must be in force within two.
   void SomeGatewayDetectsStoreRecovery()
   {
     constexpr unsigned kOutageSeconds = 8;
     random_engine random(3);
-    for (const std::size_t entries : { 1U, 4U, 27U, 103U, 350U }) {
+    for (const std::size_t gateways : { 1U, 4U, 27U, 103U, 350U }) {
       double calls = 0;
       duration first = std::chrono::hours(1);
-      for (std::size_t entry = 0; entry < entries; ++entry) {
+      for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
         duration at{};
         unsigned failures = 0;
         for (; at < std::chrono::seconds(kOutageSeconds); ++failures) {
-          at += StoreBackoff(failures, entries - 1, Uniform(random));
+          at += StoreBackoff(failures, gateways - 1, Uniform(random));
         }
         calls += failures;
         first =
@@ -244,10 +244,10 @@
     }
   }
 
-  /// Symptom: half of the engines are left out though they are sound.
-  /// Sequence: the connections of one entry's machine are reset; it tells of a
-  /// dozen broken streams on each engine. Cause: its trouble was taken for the
-  /// engines'. The same for signs that are rare.
+  /// Guards against avoiding half of the engines though they are healthy. The
+  /// connections of one gateway's machine are reset, and it reports a dozen
+  /// broken streams on each engine. A burst of reports at one moment must count
+  /// once. Reports that are a second apart must not add up either.
   void BurstOfPeerReportsCountsOnce()
   {
     known_endpoint known;
--- a/Tests/Unit/LimitTest.cpp
+++ b/Tests/Unit/LimitTest.cpp
@@ -16,19 +16,19 @@
 constexpr seconds kDuration(60);
 const std::string kEndpoint = "engine-7";
 
-/// Simulates entries in front of one endpoint that names a limit in every
-/// answer. Entries restart and are cut off from the others, messages between
-/// entries are lost, and refused callers retry.
+/// Simulates gateways in front of one endpoint that sends a limit in every
+/// answer. Gateways restart and are partitioned from the others, messages
+/// between gateways are lost, and refused callers retry.
 class rate_limit_simulation
 {
 public:
-  rate_limit_simulation(std::size_t aEntries,
+  rate_limit_simulation(std::size_t aGateways,
                         double aPerSecond,
                         std::uint64_t aSeed)
-    : mHosts(Hosts(aEntries))
+    : mHosts(Hosts(aGateways))
     , mPerSecond(aPerSecond)
     , mRandom(aSeed)
-    , mEntries(aEntries)
+    , mGateways(aGateways)
   {
   }
 
@@ -45,7 +45,7 @@
     }
     for (int at = 7; at < kDuration.count(); at += 15) {
       mEvents.emplace(kStart + seconds(at),
-                      [this]() { CutOff(RandomGateway()); });
+                      [this]() { Partition(RandomGateway()); });
     }
     while (!mEvents.empty()) {
       const std::function<void()> event = mEvents.begin()->second;
@@ -55,8 +55,8 @@
     }
   }
 
-  /// Maximum number of requests in any four seconds. Counts an entry's requests
-  /// from half a second after its first answer that named the limit.
+  /// Maximum number of requests in any four seconds. Counts a gateway's
+  /// requests from half a second after its first answer with the limit.
   std::size_t MaxInFourSeconds() const
   {
     std::size_t most = 0;
@@ -76,51 +76,53 @@
   }
 
 private:
-  struct entry
+  struct gateway_model
   {
     endpoint_limit mLimit;
-    std::optional<time_point> mAnswered; ///< First answer that named the limit.
-    bool mCutOff = false;                ///< From the other entries.
-    bool mDropped = false; ///< Peers have dropped it, and it them.
+    std::optional<time_point> mAnswered; ///< First answer with the limit.
+    bool mPartitioned = false;           ///< From the other gateways.
+    bool mDropped = false; ///< Removed from its peers' membership lists, and
+                           ///< they from its list.
     unsigned mBoot = 0;
   };
 
   std::size_t RandomGateway()
   {
-    return std::uniform_int_distribution<std::size_t>(0, mEntries.size() - 1)(
+    return std::uniform_int_distribution<std::size_t>(0, mGateways.size() - 1)(
       mRandom);
   }
 
-  void UpdateShare(std::size_t aEntry)
+  void UpdateShare(std::size_t aGateway)
   {
     std::vector<std::string> hosts;
-    for (std::size_t i = 0; i < mEntries.size(); ++i) {
-      const bool separated = mEntries[i].mDropped || mEntries[aEntry].mDropped;
-      if (i == aEntry || !separated) {
+    for (std::size_t i = 0; i < mGateways.size(); ++i) {
+      const bool separated =
+        mGateways[i].mDropped || mGateways[aGateway].mDropped;
+      if (i == aGateway || !separated) {
         hosts.push_back(mHosts[i]);
       }
     }
-    UpdateLimitShare(mEntries[aEntry].mLimit,
+    UpdateLimitShare(mGateways[aGateway].mLimit,
                      kEndpoint,
                      hosts,
-                     mHosts[aEntry],
-                     mEntries.size(),
+                     mHosts[aGateway],
+                     mGateways.size(),
                      mNow);
   }
 
   void UpdateAllShares()
   {
-    for (std::size_t i = 0; i < mEntries.size(); ++i) {
+    for (std::size_t i = 0; i < mGateways.size(); ++i) {
       UpdateShare(i);
     }
   }
 
-  bool Observe(std::size_t aEntry, time_point aObserved)
+  bool Observe(std::size_t aGateway, time_point aObserved)
   {
     const bool changed =
-      ObserveLimit(mEntries[aEntry].mLimit, mPerSecond, aObserved, mNow);
+      ObserveLimit(mGateways[aGateway].mLimit, mPerSecond, aObserved, mNow);
     if (changed) {
-      UpdateShare(aEntry);
+      UpdateShare(aGateway);
     }
     return changed;
   }
@@ -128,69 +130,71 @@
   void Request(int aRetries)
   {
     const std::size_t at = RandomGateway();
-    entry& asked = mEntries[at];
-    if (!Admits(asked.mLimit, mNow)) {
+    gateway_model& receiver = mGateways[at];
+    if (!Admits(receiver.mLimit, mNow)) {
       if (aRetries > 0) {
         mEvents.emplace(mNow + milliseconds(300),
                         [this, aRetries]() { Request(aRetries - 1); });
       }
       return;
     }
-    TakeToken(asked.mLimit, mNow);
-    if (asked.mAnswered.has_value() &&
-        mNow - *asked.mAnswered >= milliseconds(500)) {
+    TakeToken(receiver.mLimit, mNow);
+    if (receiver.mAnswered.has_value() &&
+        mNow - *receiver.mAnswered >= milliseconds(500)) {
       mCounted.push_back(mNow);
     }
     mEvents.emplace(mNow + milliseconds(150),
-                    [this, at, boot = asked.mBoot]() { Answer(at, boot); });
+                    [this, at, boot = receiver.mBoot]() { Answer(at, boot); });
   }
 
-  void Answer(std::size_t aEntry, unsigned aBoot)
+  void Answer(std::size_t aGateway, unsigned aBoot)
   {
-    entry& answered = mEntries[aEntry];
+    gateway_model& answered = mGateways[aGateway];
     if (answered.mBoot != aBoot) {
       return;
     }
     answered.mAnswered = answered.mAnswered.value_or(mNow);
-    const bool changed = Observe(aEntry, mNow);
+    const bool changed = Observe(aGateway, mNow);
     if (!MarkLimitAnnouncedIfDue(answered.mLimit, changed, mNow) ||
-        answered.mCutOff) {
+        answered.mPartitioned) {
       return;
     }
-    mEvents.emplace(mNow + milliseconds(5), [this, aEntry, observed = mNow]() {
-      for (std::size_t i = 0; i < mEntries.size(); ++i) {
-        if (i != aEntry && !mEntries[i].mCutOff && mRandom() % 20 != 0) {
-          mEntries[i].mLimit.mTold = mNow;
-          (void)Observe(i, observed);
-        }
-      }
-    });
+    mEvents.emplace(mNow + milliseconds(5),
+                    [this, aGateway, observed = mNow]() {
+                      for (std::size_t i = 0; i < mGateways.size(); ++i) {
+                        if (i != aGateway && !mGateways[i].mPartitioned &&
+                            mRandom() % 20 != 0) {
+                          mGateways[i].mLimit.mTold = mNow;
+                          (void)Observe(i, observed);
+                        }
+                      }
+                    });
   }
 
-  void Restart(std::size_t aEntry)
+  void Restart(std::size_t aGateway)
   {
-    const unsigned boot = mEntries[aEntry].mBoot + 1;
-    mEntries[aEntry] = {};
-    mEntries[aEntry].mBoot = boot;
-    // A peer sends its known limits to a new entry.
-    const endpoint_limit known = mEntries[RandomGateway()].mLimit;
+    const unsigned boot = mGateways[aGateway].mBoot + 1;
+    mGateways[aGateway] = {};
+    mGateways[aGateway].mBoot = boot;
+    // A peer sends its known limits to a new gateway.
+    const endpoint_limit known = mGateways[RandomGateway()].mLimit;
     if (known.mPerSecond.has_value()) {
-      mEvents.emplace(mNow + milliseconds(100), [this, aEntry, known]() {
-        (void)Observe(aEntry, known.mObserved);
+      mEvents.emplace(mNow + milliseconds(100), [this, aGateway, known]() {
+        (void)Observe(aGateway, known.mObserved);
       });
     }
   }
 
-  void CutOff(std::size_t aEntry)
+  void Partition(std::size_t aGateway)
   {
-    mEntries[aEntry].mCutOff = true;
-    mEvents.emplace(mNow + seconds(4), [this, aEntry]() {
-      mEntries[aEntry].mDropped = mEntries[aEntry].mCutOff;
+    mGateways[aGateway].mPartitioned = true;
+    mEvents.emplace(mNow + seconds(4), [this, aGateway]() {
+      mGateways[aGateway].mDropped = mGateways[aGateway].mPartitioned;
       UpdateAllShares();
     });
-    mEvents.emplace(mNow + seconds(10), [this, aEntry]() {
-      mEntries[aEntry].mCutOff = false;
-      mEntries[aEntry].mDropped = false;
+    mEvents.emplace(mNow + seconds(10), [this, aGateway]() {
+      mGateways[aGateway].mPartitioned = false;
+      mGateways[aGateway].mDropped = false;
       UpdateAllShares();
     });
   }
@@ -198,7 +202,7 @@
   std::vector<std::string> mHosts;
   double mPerSecond;
   std::mt19937_64 mRandom;
-  std::vector<entry> mEntries;
+  std::vector<gateway_model> mGateways;
   std::vector<time_point> mCounted;
   time_point mNow{};
   std::multimap<time_point, std::function<void()>> mEvents;
@@ -216,16 +220,16 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  /// Guards against each entry using the whole limit for itself.
+  /// Guards against each gateway using the whole limit for itself.
   void FleetStaysWithinLimit()
   {
-    for (const std::size_t entries : { 15, 103, 350 }) {
+    for (const std::size_t gateways : { 15, 103, 350 }) {
       for (const double rate : { 0.5, 1.0, 1.6, 4.0, 20.0 }) {
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-          rate_limit_simulation fleet(entries, rate, seed);
+          rate_limit_simulation fleet(gateways, rate, seed);
           fleet.Run(40);
           const double allowed = 1.5 * rate * 4 + 5;
-          const std::string which = std::to_string(entries) + " entries, " +
+          const std::string which = std::to_string(gateways) + " entries, " +
                                     std::to_string(rate) + " a second, seed " +
                                     std::to_string(seed);
           CPPUNIT_ASSERT_MESSAGE(
@@ -237,7 +241,7 @@
     }
   }
 
-  /// Guards against an ended limit that stays in force because no entry sends
+  /// Guards against an ended limit that stays in force because no gateway sends
   /// requests to the endpoint.
   void EndedLimitIsDetectedByProbes()
   {
