--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/NewsOutbox.h"
+#include "LibGateway/GossipSender.h"
 
 #include "LibGateway/GatewayMetrics.h"
 #include "LibGateway/LimitBoard.h"
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/PeerNews.h"
+#include "LibGateway/PeerGossip.h"
 
 #include "LibGateway/GatewayMetrics.h"
 #include "LibGateway/LimitBoard.h"
