--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -7,23 +7,27 @@
 
 namespace {
 
-/// Within this a crashed endpoint is off the list: it misses three reports of
-/// one to two seconds each, and changes of the list are gathered.
+/// A crashed endpoint is removed from the list within this time: that takes
+/// three missed reports, one to two seconds apart, and changes of the list are
+/// batched.
 constexpr duration kUnresolvedFailureLifetime = std::chrono::seconds(10);
-/// The cases of one endpoint; it has some twenty slots.
+/// Bounds the unresolved failures of one endpoint, which has about twenty
+/// slots.
 constexpr std::size_t kMaxUnresolvedPerEndpoint = 64;
-/// A request that several entries saw end endpoints is left in the table by
-/// each of them; the first to do so spares the others nothing but the check.
-/// Until then it may turn out to be sound.
+/// Delay before a quarantined request is written to the store's table. The
+/// request may be cleared meanwhile. If several gateways reported a crash under
+/// it, each of them writes the row.
 constexpr duration kTableWriteDelay = std::chrono::seconds(1);
-/// Hundreds of entries may know that a request is sound: the first one that
-/// says so spares the others saying it.
+/// Each gateway that answered a request lately waits for a random time up to
+/// this before it broadcasts that the request is cleared. Hundreds of gateways
+/// may have answered it; the first broadcast makes the others unnecessary.
 constexpr duration kClearedBroadcastWindow = std::chrono::milliseconds(300);
-/// Between two times that one peer is told all that is held.
+/// Minimum time between two sends of the whole quarantine to one peer.
 constexpr duration kResyncInterval = std::chrono::milliseconds(500);
-/// After the store refused a call for a trial.
+/// Pause after the store refused a claim of a trial.
 constexpr duration kClaimBackoff = std::chrono::seconds(2);
-/// An entry that starts waits so long for the store to say what is held.
+/// Requests wait up to this time after the start for the quarantine to be read
+/// from the store.
 constexpr duration kMaxStartupWait = std::chrono::milliseconds(500);
 constexpr duration kExpiryInterval = std::chrono::seconds(1);
 constexpr duration kReportedLifetime = std::chrono::hours(1);
@@ -44,8 +48,9 @@
   return "";
 }
 
-/// Whether this entry is the one, of those it knows, that does what is to be
-/// done once for a request.
+/// True if this gateway has the highest rendezvous weight for the request among
+/// the gateways that it has in its membership. Used for work that one gateway
+/// should do for all.
 bool
 IsResponsibleGateway(const gateway_board& aBoard,
                      const std::string& aOwnHost,
@@ -59,21 +64,21 @@
     });
 }
 
-/// `aToldBy` is empty where it was answered here.
+/// `aReporter` is empty if the request was answered by this gateway.
 void
 LogCleared(log_level aLevel,
            request_digest aRequest,
-           const std::string& aToldBy,
-           bool aWasHeld)
+           const std::string& aReporter,
+           bool aWasQuarantined)
 {
   Log(aLevel,
       "request_cleared",
       { { "digest", DigestText(aRequest) },
-        { "told_by", aToldBy },
-        { "was_held", static_cast<int>(aWasHeld) } });
+        { "told_by", aReporter },
+        { "was_held", static_cast<int>(aWasQuarantined) } });
 }
 
-/// Drops what was noted so long ago.
+/// Erases entries that are at least `aAge` old.
 template<typename Key>
 void
 EraseOlder(std::map<Key, time_point>& aNoted, duration aAge, time_point aNow)
@@ -83,7 +88,7 @@
   });
 }
 
-/// The requests whose time has come, which are taken out.
+/// Removes and returns the requests whose time has come.
 std::vector<request_digest>
 TakeDue(std::map<request_digest, time_point>& aTimes, time_point aNow)
 {
@@ -106,12 +111,12 @@
                                const gateway_adapter& aAdapter,
                                gateway_board& aBoard,
                                endpoint_connections& aConnections,
-                               gossip_sender& aOutbox)
+                               gossip_sender& aSender)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
   , mConnections(aConnections)
-  , mOutbox(aOutbox)
+  , mSender(aSender)
   , mTable(aLoop, aSettings, aAdapter, aBoard)
 {
 }
@@ -121,8 +126,8 @@
 void
 crash_detector::Start()
 {
-  mTable.Learn([this](const std::vector<held_request>& aHeld) {
-    MergeQuarantined(aHeld, "platform");
+  mTable.LoadRows([this](const std::vector<held_request>& aQuarantined) {
+    MergeQuarantined(aQuarantined, "platform");
     mBoard.mQuarantineKnown = true;
     RunWaitingCallbacks();
   });
@@ -135,20 +140,21 @@
 }
 
 void
-crash_detector::WhenQuarantineLoaded(std::function<void()> aThen)
+crash_detector::WhenQuarantineLoaded(std::function<void()> aCallback)
 {
   if (mBoard.mQuarantineKnown ||
       mLoop.Now() - mBoard.mStarted >= kMaxStartupWait) {
-    aThen();
+    aCallback();
     return;
   }
-  mWaiting.push_back(std::move(aThen));
+  mWaitingCallbacks.push_back(std::move(aCallback));
 }
 
 void
 crash_detector::RunWaitingCallbacks()
 {
-  for (const std::function<void()>& then : std::exchange(mWaiting, {})) {
+  for (const std::function<void()>& then :
+       std::exchange(mWaitingCallbacks, {})) {
     then();
   }
 }
@@ -157,29 +163,29 @@
 crash_detector::OnAttemptFailed(const failed_attempt& aAttempt)
 {
   const std::string& id = aAttempt.mEndpointId;
-  if (mEnded.contains(id)) {
-    Report({ aAttempt.mRequest, EngineKey(id), aAttempt.mAnswering });
+  if (mCrashed.contains(id)) {
+    RecordCrash({ aAttempt.mRequest, EngineKey(id), aAttempt.mAnswering });
     return;
   }
   const auto known = mBoard.mEndpoints.mEndpoints.find(id);
   if (known == mBoard.mEndpoints.mEndpoints.end() ||
       known->second.mListed.mLeaving) {
-    // It ends as planned, whatever it was doing.
+    // The end of a draining or unlisted endpoint is planned and no crash.
     return;
   }
-  std::vector<unresolved_failure>& cases = mUnresolvedFailures[id];
-  if (cases.size() < kMaxUnresolvedPerEndpoint) {
-    cases.push_back(
+  std::vector<unresolved_failure>& failures = mUnresolvedFailures[id];
+  if (failures.size() < kMaxUnresolvedPerEndpoint) {
+    failures.push_back(
       { aAttempt, known->second.mListed.mAddress, false, mLoop.Now() });
   }
   if (aAttempt.mConnectionBroke) {
-    Check(id, known->second.mListed.mAddress);
+    CheckReachability(id, known->second.mListed.mAddress);
   }
 }
 
 void
-crash_detector::Check(const std::string& aEndpointId,
-                      const ip_address& aAddress)
+crash_detector::CheckReachability(const std::string& aEndpointId,
+                                  const ip_address& aAddress)
 {
   if (mReachabilityChecks.contains(aEndpointId)) {
     return;
@@ -211,9 +217,9 @@
     mUnresolvedFailures.erase(aEndpointId);
     return;
   }
-  const auto cases = mUnresolvedFailures.find(aEndpointId);
-  if (cases != mUnresolvedFailures.end()) {
-    for (unresolved_failure& one : cases->second) {
+  const auto failures = mUnresolvedFailures.find(aEndpointId);
+  if (failures != mUnresolvedFailures.end()) {
+    for (unresolved_failure& one : failures->second) {
       one.mReached = true;
     }
   }
@@ -221,26 +227,27 @@
 
 void
 crash_detector::OnEndpointCrashed(const std::string& aEndpointId,
-                                  std::string_view aSeenBy)
+                                  std::string_view aEvidence)
 {
   const auto found = mUnresolvedFailures.find(aEndpointId);
   if (found == mUnresolvedFailures.end()) {
     return;
   }
-  const std::vector<unresolved_failure> cases = std::move(found->second);
+  const std::vector<unresolved_failure> failures = std::move(found->second);
   mUnresolvedFailures.erase(found);
-  mEnded[aEndpointId] = mLoop.Now();
+  mCrashed[aEndpointId] = mLoop.Now();
   mBoard.mMetrics.Count("gateway_endpoint_crashes_total");
-  Log(log_level::Warning,
-      "endpoint_crashed",
-      { { "endpoint", aEndpointId },
-        { "seen_by", aSeenBy },
-        { "requests", cases.size() },
-        { "after_ms", Milliseconds(mLoop.Now() - cases.front().mFailedAt) } });
-  for (const unresolved_failure& one : cases) {
-    Report({ one.mAttempt.mRequest,
-             EngineKey(aEndpointId),
-             one.mAttempt.mAnswering });
+  Log(
+    log_level::Warning,
+    "endpoint_crashed",
+    { { "endpoint", aEndpointId },
+      { "seen_by", aEvidence },
+      { "requests", failures.size() },
+      { "after_ms", Milliseconds(mLoop.Now() - failures.front().mFailedAt) } });
+  for (const unresolved_failure& one : failures) {
+    RecordCrash({ one.mAttempt.mRequest,
+                  EngineKey(aEndpointId),
+                  one.mAttempt.mAnswering });
   }
 }
 
@@ -253,14 +260,14 @@
 void
 crash_detector::OnEndpointUnlisted(const std::string& aEndpointId)
 {
-  const auto cases = mUnresolvedFailures.find(aEndpointId);
-  if (cases != mUnresolvedFailures.end()) {
-    Check(aEndpointId, cases->second.front().mAddress);
+  const auto failures = mUnresolvedFailures.find(aEndpointId);
+  if (failures != mUnresolvedFailures.end()) {
+    CheckReachability(aEndpointId, failures->second.front().mAddress);
   }
 }
 
 void
-crash_detector::Report(const crash_report& aReport)
+crash_detector::RecordCrash(const crash_report& aReport)
 {
   const time_point now = mLoop.Now();
   const crash_effect effect = NoteCrash(mBoard.mQuarantine, aReport, now);
@@ -274,7 +281,7 @@
     return;
   }
   mReported[aReport.mRequest] = now;
-  mOutbox.BroadcastCrash(aReport);
+  mSender.BroadcastCrash(aReport);
   if (effect == crash_effect::Held) {
     OnQuarantined(aReport.mRequest, "");
   }
@@ -284,16 +291,16 @@
 crash_detector::OnPeerCrashReport(const crash_report& aReport,
                                   const std::string& aHost)
 {
-  // What this entry had there ended with it, also if its caller had just left
-  // and nothing broke here.
-  const auto cases =
+  // This gateway's own attempts at that endpoint failed with it, even if the
+  // caller had just disconnected and no connection broke here.
+  const auto failures =
     std::find_if(mUnresolvedFailures.begin(),
                  mUnresolvedFailures.end(),
                  [&aReport](const auto& aEntry) {
                    return EngineKey(aEntry.first) == aReport.mEndpoint;
                  });
-  if (cases != mUnresolvedFailures.end()) {
-    OnEndpointCrashed(std::string(cases->first), "told");
+  if (failures != mUnresolvedFailures.end()) {
+    OnEndpointCrashed(std::string(failures->first), "told");
   }
   switch (NoteCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
     case crash_effect::Held:
@@ -310,13 +317,13 @@
 
 void
 crash_detector::OnQuarantined(request_digest aRequest,
-                              const std::string& aToldBy)
+                              const std::string& aReporter)
 {
   mBoard.mMetrics.Count("gateway_quarantined_total");
   Log(log_level::Warning,
       "request_quarantined",
       { { "digest", DigestText(aRequest) },
-        { "told_by", aToldBy },
+        { "told_by", aReporter },
         { "held", mBoard.mQuarantine.mHeld.size() } });
   if (mReported.contains(aRequest)) {
     mTableWritesDue[aRequest] = mLoop.Now() + kTableWriteDelay;
@@ -326,14 +333,14 @@
 void
 crash_detector::OnRequestAnswered(request_digest aRequest)
 {
-  const bool held = mBoard.mQuarantine.mHeld.contains(aRequest);
+  const bool wasQuarantined = mBoard.mQuarantine.mHeld.contains(aRequest);
   if (!NoteServed(mBoard.mQuarantine, aRequest, mLoop.Now())) {
     return;
   }
-  LogCleared(log_level::Warning, aRequest, "", held);
-  mOutbox.BroadcastCleared(aRequest);
-  if (held) {
-    mRows.erase(aRequest);
+  LogCleared(log_level::Warning, aRequest, "", wasQuarantined);
+  mSender.BroadcastCleared(aRequest);
+  if (wasQuarantined) {
+    mWrittenRows.erase(aRequest);
     mTable.Remove(aRequest);
   }
 }
@@ -341,23 +348,24 @@
 void
 crash_detector::OnPeerCleared(request_digest aRequest, const std::string& aHost)
 {
-  const bool held = NoteCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
+  const bool wasQuarantined =
+    NoteCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
   mClearedBroadcastsDue.erase(aRequest);
   mTableWritesDue.erase(aRequest);
-  if (held) {
+  if (wasQuarantined) {
     LogCleared(log_level::Info, aRequest, aHost, true);
   }
-  if (mRows.erase(aRequest) != 0) {
+  if (mWrittenRows.erase(aRequest) != 0) {
     mTable.Remove(aRequest);
   }
 }
 
 void
-crash_detector::MergeQuarantined(const std::vector<held_request>& aHeld,
+crash_detector::MergeQuarantined(const std::vector<held_request>& aQuarantined,
                                  const std::string& aHost)
 {
   const time_point now = mLoop.Now();
-  for (const held_request& one : aHeld) {
+  for (const held_request& one : aQuarantined) {
     if (ServedLately(mBoard.mQuarantine, one.mRequest, now)) {
       ScheduleClearedBroadcast(one.mRequest);
     } else if (NoteHeld(mBoard.mQuarantine, one, now)) {
@@ -367,21 +375,22 @@
 }
 
 void
-crash_detector::OnPeerQuarantineHash(std::uint64_t aState,
+crash_detector::OnPeerQuarantineHash(std::uint64_t aPeerHash,
                                      const std::string& aHost)
 {
-  // A datagram may be lost, an entry may have been cut off or just have
-  // started: it would send what all others hold. Each beat shows whether its
-  // sender holds the same.
+  // A peer may miss quarantined requests because a datagram was lost, or
+  // because it was disconnected or has just started, and would then forward
+  // them. Each heartbeat carries a hash of the sender's quarantine, which shows
+  // this.
   const time_point now = mLoop.Now();
-  if (aState == 0 || mBoard.mQuarantine.mHeld.empty() ||
-      aState == HeldState(mBoard.mQuarantine)) {
+  if (aPeerHash == 0 || mBoard.mQuarantine.mHeld.empty() ||
+      aPeerHash == HeldState(mBoard.mQuarantine)) {
     return;
   }
-  time_point& told = mTold[aHost];
-  if (now - told >= kResyncInterval) {
-    told = now;
-    mOutbox.SendQuarantined(AllHeld(mBoard.mQuarantine, now), aHost);
+  time_point& lastSend = mLastFullSend[aHost];
+  if (now - lastSend >= kResyncInterval) {
+    lastSend = now;
+    mSender.SendQuarantined(AllHeld(mBoard.mQuarantine, now), aHost);
   }
 }
 
@@ -394,11 +403,11 @@
 }
 
 suspicion
-crash_detector::Pending(request_digest aRequest) const
+crash_detector::PendingSuspicion(request_digest aRequest) const
 {
   suspicion sum = 0;
-  for (const auto& [endpoint, cases] : mUnresolvedFailures) {
-    for (const unresolved_failure& one : cases) {
+  for (const auto& [endpoint, failures] : mUnresolvedFailures) {
+    for (const unresolved_failure& one : failures) {
       if (one.mAttempt.mRequest == aRequest && one.mAttempt.mConnectionBroke &&
           !one.mReached) {
         sum += SuspicionOfEnd(one.mAttempt.mAnswering);
@@ -412,30 +421,32 @@
 crash_detector::Verdict(request_digest aRequest) const
 {
   return VerdictOn(
-    mBoard.mQuarantine, aRequest, Pending(aRequest), mLoop.Now());
+    mBoard.mQuarantine, aRequest, PendingSuspicion(aRequest), mLoop.Now());
 }
 
 void
 crash_detector::ClaimTrial(request_digest aRequest,
-                           std::function<void(bool)> aThen)
+                           std::function<void(bool)> aCallback)
 {
   const auto held = mBoard.mQuarantine.mHeld.find(aRequest);
   if (held == mBoard.mQuarantine.mHeld.end() || mLoop.Now() < mNextClaimAt ||
       !mClaimsInProgress.insert(aRequest).second) {
-    aThen(false);
+    aCallback(false);
     return;
   }
   const unsigned trial = held->second.mTrials + 1;
   mTable.ClaimTrial(
     aRequest,
     trial,
-    [this, aRequest, trial, then = std::move(aThen)](write_outcome aOutcome) {
+    [this, aRequest, trial, then = std::move(aCallback)](
+      write_outcome aOutcome) {
       mClaimsInProgress.erase(aRequest);
       const bool granted = aOutcome == write_outcome::Done;
       if (aOutcome == write_outcome::Refused) {
         mNextClaimAt = mLoop.Now() + kClaimBackoff;
       } else {
-        // Without an answer the store may have given the trial away as well.
+        // If no answer arrived, the store may have granted the trial to this
+        // gateway or to another one.
         NoteTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
       }
       Log(log_level::Warning,
@@ -446,7 +457,7 @@
       mBoard.mMetrics.Count(Labelled(
         "gateway_quarantine_trials_total", "granted", granted ? "1" : "0"));
       if (granted) {
-        mOutbox.BroadcastQuarantined({ { aRequest, trial, duration::zero() } });
+        mSender.BroadcastQuarantined({ { aRequest, trial, duration::zero() } });
       }
       then(granted);
     });
@@ -458,17 +469,17 @@
   const time_point now = mLoop.Now();
   for (const request_digest request : TakeDue(mClearedBroadcastsDue, now)) {
     if (ServedLately(mBoard.mQuarantine, request, now)) {
-      mOutbox.BroadcastCleared(request);
+      mSender.BroadcastCleared(request);
     }
   }
   for (const request_digest request : TakeDue(mTableWritesDue, now)) {
     if (mBoard.mQuarantine.mHeld.contains(request)) {
-      mRows.insert(request);
+      mWrittenRows.insert(request);
       mTable.Add(request);
     }
   }
   mTable.Tick();
-  if (!mWaiting.empty() && now - mBoard.mStarted >= kMaxStartupWait) {
+  if (!mWaitingCallbacks.empty() && now - mBoard.mStarted >= kMaxStartupWait) {
     RunWaitingCallbacks();
   }
   if (now - mLastExpiry >= kExpiryInterval) {
@@ -481,21 +492,21 @@
 crash_detector::ExpireOldState()
 {
   const time_point now = mLoop.Now();
-  for (auto& [endpoint, cases] : mUnresolvedFailures) {
-    std::erase_if(cases, [now](const unresolved_failure& aCase) {
-      return aCase.mFailedAt + kUnresolvedFailureLifetime <= now;
+  for (auto& [endpoint, failures] : mUnresolvedFailures) {
+    std::erase_if(failures, [now](const unresolved_failure& aFailure) {
+      return aFailure.mFailedAt + kUnresolvedFailureLifetime <= now;
     });
   }
   std::erase_if(mUnresolvedFailures,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
-  EraseOlder(mEnded, kUnresolvedFailureLifetime, now);
+  EraseOlder(mCrashed, kUnresolvedFailureLifetime, now);
   EraseOlder(mReported, kReportedLifetime, now);
-  std::erase_if(mTold, [this](const auto& aEntry) {
+  std::erase_if(mLastFullSend, [this](const auto& aEntry) {
     return !mBoard.mPeers.contains(aEntry.first);
   });
   for (const request_digest freed : ForgetOldCrashes(mBoard.mQuarantine, now)) {
     LogCleared(log_level::Info, freed, "time", true);
-    mRows.erase(freed);
+    mWrittenRows.erase(freed);
     if (IsResponsibleGateway(mBoard, mSettings.mPeers.mHost, freed)) {
       mTable.Remove(freed);
     }
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -1,13 +1,15 @@
 #pragma once
 
-/// Finds out which endpoints ended, and under which requests; tells the other
-/// entries, hears of theirs, and keeps the quarantine (LibFleet/Quarantine).
+/// Detects endpoint crashes and which requests were running there, exchanges
+/// crash reports with other gateways, and maintains the quarantine
+/// (LibFleet/Quarantine).
 ///
-/// A connection that breaks off says little: the network may have reset it, or
-/// the endpoint may have spoilt one answer. So each attempt that ends without a
-/// whole answer is kept as a case until it is known whether its endpoint ended:
-/// the endpoint refuses a connection, another one has its address, or it leaves
-/// the list without having said so and cannot be reached.
+/// A broken connection is no proof of a crash: the network may have reset it,
+/// or the endpoint may have failed a single answer. An attempt without a
+/// complete answer is therefore kept as an unresolved failure until there is
+/// evidence. The endpoint has crashed if it refuses a connection, if another
+/// endpoint now has its address, or if it left the list without draining and
+/// cannot be reached.
 
 #include "LibGateway/GossipSender.h"
 #include "LibGateway/QuarantineTable.h"
@@ -15,13 +17,13 @@
 
 namespace primrose {
 
-/// How an attempt ended that brought no whole answer.
+/// An attempt that ended without a complete answer.
 struct failed_attempt
 {
   request_digest mRequest = 0;
   std::string mEndpointId;
-  bool mAnswering = false; ///< A part of the answer had come.
-  /// It broke off: worth asking at once whether the endpoint is still there.
+  bool mAnswering = false; ///< Part of the answer was received.
+  /// The connection broke, so the endpoint's reachability is checked at once.
   bool mConnectionBroke = false;
 
   bool operator==(const failed_attempt&) const = default;
@@ -35,46 +37,49 @@
                  const gateway_adapter& aAdapter,
                  gateway_board& aBoard,
                  endpoint_connections& aConnections,
-                 gossip_sender& aOutbox);
+                 gossip_sender& aSender);
   ~crash_detector();
   crash_detector(const crash_detector&) = delete;
   crash_detector& operator=(const crash_detector&) = delete;
 
-  /// Learns from the platform what is held.
+  /// Loads the quarantined requests from the platform's store.
   void Start();
-  /// The store answers again: what it has not told yet is asked for at once.
+  /// Retries pending store operations at once, since the store answers again.
   void OnStoreReached();
-  /// Calls `aThen` once it is known what is held, mostly at once: a request
-  /// that ends endpoints may be the first that comes to an entry that has
-  /// started. Where the store does not tell, callers wait for no longer than a
-  /// moment after the start.
-  void WhenQuarantineLoaded(std::function<void()> aThen);
+  /// Calls `aCallback` once the quarantine is loaded, mostly at once. This
+  /// matters because the first request after a start may be one that crashes
+  /// endpoints. If the store does not answer, callers wait at most
+  /// `kMaxStartupWait` after the start.
+  void WhenQuarantineLoaded(std::function<void()> aCallback);
 
   void OnAttemptFailed(const failed_attempt& aAttempt);
-  /// The endpoint refused a connection, or another one has its address.
+  /// Evidence of a crash: for example, the endpoint refused a connection, or
+  /// another endpoint now has its address.
   void OnEndpointCrashed(const std::string& aEndpointId,
-                         std::string_view aSeenBy);
-  /// The platform's list shows it as leaving: it is there, and ends as planned.
+                         std::string_view aEvidence);
+  /// The platform's list shows the endpoint as draining, so it is alive and its
+  /// end is planned.
   void OnEndpointDraining(const std::string& aEndpointId);
-  /// The platform's list dropped an endpoint.
+  /// The endpoint was removed from the platform's list.
   void OnEndpointUnlisted(const std::string& aEndpointId);
-  /// A request was answered whole.
+  /// A request was answered completely.
   void OnRequestAnswered(request_digest aRequest);
 
   void OnPeerCrashReport(const crash_report& aReport, const std::string& aHost);
-  void MergeQuarantined(const std::vector<held_request>& aHeld,
+  /// Adds quarantined requests received from a peer or read from the store.
+  void MergeQuarantined(const std::vector<held_request>& aQuarantined,
                         const std::string& aHost);
   void OnPeerCleared(request_digest aRequest, const std::string& aHost);
-  /// What a peer says of all that it holds: if that is not what this entry
-  /// holds, the peer gets this entry's.
-  void OnPeerQuarantineHash(std::uint64_t aState, const std::string& aHost);
+  /// Compares a peer's hash of its quarantine with this gateway's own. If they
+  /// differ, sends this gateway's quarantined requests to the peer.
+  void OnPeerQuarantineHash(std::uint64_t aPeerHash, const std::string& aHost);
 
   quarantine_verdict Verdict(request_digest aRequest) const;
-  /// Whether this entry may make a trial of a held request. At most one entry
-  /// is told so, once for each trial; to find out takes a call of the store.
-  void ClaimTrial(request_digest aRequest, std::function<void(bool)> aThen);
+  /// Claims the next trial of a quarantined request in the platform's store.
+  /// The store grants each trial to at most one gateway.
+  void ClaimTrial(request_digest aRequest, std::function<void(bool)> aCallback);
 
-  /// Does what is due, and forgets what is old; called several times a second.
+  /// Runs due work and expires old state; called several times a second.
   void Tick();
 
 private:
@@ -82,40 +87,44 @@
   {
     failed_attempt mAttempt;
     ip_address mAddress;
-    bool mReached = false; ///< The endpoint took a connection after it.
+    bool mReached = false; ///< The endpoint has accepted a connection since.
     time_point mFailedAt{};
   };
-  /// What the cases would add if their endpoints turned out to have ended.
-  suspicion Pending(request_digest aRequest) const;
-  void Check(const std::string& aEndpointId, const ip_address& aAddress);
+  /// The suspicion that unresolved failures of this request would add if their
+  /// endpoints turned out to have crashed.
+  suspicion PendingSuspicion(request_digest aRequest) const;
+  void CheckReachability(const std::string& aEndpointId,
+                         const ip_address& aAddress);
   void OnReachabilityResult(const std::string& aEndpointId,
                             reachability aResult);
-  void Report(const crash_report& aReport);
-  void OnQuarantined(request_digest aRequest, const std::string& aToldBy);
+  void RecordCrash(const crash_report& aReport);
+  void OnQuarantined(request_digest aRequest, const std::string& aReporter);
   void ScheduleClearedBroadcast(request_digest aRequest);
   void ExpireOldState();
+  /// Runs the callbacks that wait for the quarantine to be loaded.
   void RunWaitingCallbacks();
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
   gateway_board& mBoard;
   endpoint_connections& mConnections;
-  gossip_sender& mOutbox;
+  gossip_sender& mSender;
   quarantine_table mTable;
   std::map<std::string, std::vector<unresolved_failure>>
-    mUnresolvedFailures;                    ///< By endpoint.
-  std::map<std::string, time_point> mEnded; ///< Endpoints, when found out.
+    mUnresolvedFailures; ///< By endpoint.
+  std::map<std::string, time_point>
+    mCrashed; ///< Endpoints, by time of detection.
   std::map<std::string, std::shared_ptr<reachability_check>>
     mReachabilityChecks;
-  /// Requests of which this entry reported an end, and when last.
+  /// Requests that this gateway has reported for a crash, and when last.
   std::map<request_digest, time_point> mReported;
   std::map<request_digest, time_point> mTableWritesDue;
-  std::set<request_digest> mRows; ///< That this entry added to the table.
+  std::set<request_digest> mWrittenRows; ///< Rows written by this gateway.
   std::map<request_digest, time_point> mClearedBroadcastsDue;
   std::set<request_digest> mClaimsInProgress;
-  std::vector<std::function<void()>> mWaiting; ///< For what is held.
+  std::vector<std::function<void()>> mWaitingCallbacks;
   time_point mNextClaimAt{};
-  std::map<std::string, time_point> mTold; ///< By host, all that is held.
+  std::map<std::string, time_point> mLastFullSend; ///< By peer host.
   time_point mLastExpiry{};
 };
 
--- a/Libraries/LibGateway/GatewayRegistry.cpp
+++ b/Libraries/LibGateway/GatewayRegistry.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr unsigned kGood = 200;
-/// A call takes the store 4 ms, and up to 250 when it is slow.
+constexpr unsigned kStatusOk = 200;
+/// A store call takes 4 ms, and up to 250 ms if the store is slow.
 constexpr duration kTimeout = std::chrono::milliseconds(900);
-/// Between two tries: 350 entries together make 500 of the store's 2,000 calls
-/// a second while it turns all of them away.
-constexpr duration kPause = std::chrono::milliseconds(700);
+/// Delay before a retry. With it, 350 gateways make 500 of the store's 2,000
+/// calls a second while the store refuses all of them.
+constexpr duration kRetryDelay = std::chrono::milliseconds(700);
 
 } // namespace
 
@@ -20,12 +20,12 @@
                                    const gateway_settings& aSettings,
                                    const gateway_adapter& aAdapter,
                                    gateway_board& aBoard,
-                                   learnt aLearnt)
+                                   loaded_callback aOnLoaded)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
-  , mOnLoaded(std::move(aLearnt))
+  , mOnLoaded(std::move(aOnLoaded))
   , mCaller(aLoop, aSettings.mStore)
 {
 }
@@ -37,16 +37,16 @@
                  mAdapter.mEntryTable, mSettings.mPeers.mHost, mSettings.mName),
                kTimeout,
                [this](const http_answer& aAnswer) {
-                 if (aAnswer.mStatus == kGood) {
-                   Learn("");
+                 if (aAnswer.mStatus == kStatusOk) {
+                   LoadRows("");
                    return;
                  }
-                 (void)mLoop.After(kPause, [this]() { Register(); });
+                 (void)mLoop.After(kRetryDelay, [this]() { Register(); });
                });
 }
 
 void
-gateway_registry::Learn(const std::string& aFromKey)
+gateway_registry::LoadRows(const std::string& aFromKey)
 {
   mCaller.Call(mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
                kTimeout,
@@ -54,15 +54,15 @@
                  const table_reading reading = mAdapter.mDecodeTable(aAnswer);
                  CountStoreCall(mBoard.mMetrics, reading.mOutcome);
                  if (reading.mOutcome != table_reading::outcome::Good) {
-                   (void)mLoop.After(kPause,
-                                     [this, aFromKey]() { Learn(aFromKey); });
+                   (void)mLoop.After(
+                     kRetryDelay, [this, aFromKey]() { LoadRows(aFromKey); });
                    return;
                  }
                  for (const row_change<std::string>& row : reading.mRows) {
                    mHosts.push_back(row.mKey);
                  }
                  if (HasMoreRows(reading)) {
-                   Learn(NextPageKey(reading));
+                   LoadRows(NextPageKey(reading));
                    return;
                  }
                  mBoard.mEntriesListed = mHosts.size();
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The platform's table of entries: this one leaves its address there, and
-/// learns once who else has. From then on entries tell each other of others.
+/// Registers this gateway in the platform's table of gateways and reads the
+/// others from it once. Later changes of membership arrive by gossip.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -10,29 +10,31 @@
 class gateway_registry
 {
 public:
-  /// Gets the hosts of all entries that have a row, this one's included.
-  using learnt = std::function<void(const std::vector<std::string>& aHosts)>;
+  /// Called with the hosts of all registered gateways, this one included.
+  using loaded_callback =
+    std::function<void(const std::vector<std::string>& aHosts)>;
 
   gateway_registry(event_loop& aLoop,
                    const gateway_settings& aSettings,
                    const gateway_adapter& aAdapter,
                    gateway_board& aBoard,
-                   learnt aLearnt);
+                   loaded_callback aOnLoaded);
   gateway_registry(const gateway_registry&) = delete;
   gateway_registry& operator=(const gateway_registry&) = delete;
 
-  /// Writes the row and reads the table, again and again until both are done.
+  /// Writes this gateway's row and reads the table; retries each until it
+  /// succeeds.
   void Register();
 
 private:
-  /// Reads the table from this key on, in as many answers as it takes.
-  void Learn(const std::string& aFromKey);
+  /// Reads the table from this key on, page by page.
+  void LoadRows(const std::string& aFromKey);
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
-  learnt mOnLoaded;
+  loaded_callback mOnLoaded;
   std::vector<std::string> mHosts;
   http_caller mCaller;
 };
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -11,25 +11,27 @@
 
 namespace {
 
-/// News of one such span goes in one datagram: short against a pass of an
-/// engine (50 ms), long against the time between two placements in a burst.
+/// Updates within this time share a datagram. It is short compared with one
+/// pass of an engine (50 ms) and long compared with the time between two
+/// placements in a burst.
 constexpr duration kBatchDelay = std::chrono::milliseconds(3);
-/// An end only frees a place, and half of what a datagram costs is its heads:
-/// it waits this long for a placement to go with. A pass takes 50 ms.
+/// The end of a placement only frees capacity, and headers are half the cost of
+/// a datagram. An end therefore waits longer, to share the datagram of a
+/// placement. One pass of an engine takes 50 ms.
 constexpr duration kEndBatchDelay = std::chrono::milliseconds(30);
-/// Placements in one datagram, so that it fits into one packet.
+/// Bounds the placements in one datagram so that it fits into one packet.
 constexpr std::size_t kMaxPlacementsPerDatagram = 8;
-/// Hosts named in one datagram, and in which of the beats: an entry that starts
-/// finds the others in the platform's table of entries, so this is for those
-/// that could not read it. Named in each, hosts were half of what an entry of
-/// 103 sent.
+/// Hosts listed in one datagram, and in one of how many heartbeats. A gateway
+/// that starts finds the others in the platform's registry table, so the list
+/// only serves gateways that could not read it. With hosts in every heartbeat,
+/// they were half of the bytes that one of 103 gateways sent.
 constexpr std::size_t kMaxHostsPerDatagram = 16;
 constexpr unsigned kHeartbeatsPerHostList = 4;
-/// What concerns all entries goes to each of them: an endpoint that ends takes
-/// all that it worked on, so its reports come together and share a datagram.
-/// Short against the seconds within which all have to know.
+/// Broadcasts within this time share a datagram. An endpoint that crashes fails
+/// all its requests at once, so the reports arrive together. The delay is short
+/// compared with the seconds within which all gateways need them.
 constexpr duration kBroadcastBatchDelay = std::chrono::milliseconds(30);
-/// Held requests or reports in one datagram, of 14 bytes each.
+/// Quarantined requests or crash reports in one datagram, at 14 bytes each.
 constexpr std::size_t kMaxQuarantinedPerDatagram = 64;
 
 } // namespace
@@ -64,10 +66,10 @@
 }
 
 void
-gossip_sender::AnnouncePlacement(const placement& aPlaced)
+gossip_sender::AnnouncePlacement(const placement& aPlacement)
 {
-  mGathered.mPlaced.push_back(aPlaced);
-  Concern(aPlaced.mEngines);
+  mBatch.mNewPlacements.push_back(aPlacement);
+  AddBatchEngines(aPlacement.mEngines);
   ScheduleFlush(kBatchDelay);
 }
 
@@ -76,33 +78,34 @@
                                     placement_end aEnd,
                                     const std::vector<engine_key>& aEngines)
 {
-  (aEnd == placement_end::Read ? mGathered.mEnded : mGathered.mUnread)
+  (aEnd == placement_end::Read ? mBatch.mEndedPlacements
+                               : mBatch.mEndedBeforePrefill)
     .push_back(aKey);
-  Concern(aEngines);
+  AddBatchEngines(aEngines);
   ScheduleFlush(kEndBatchDelay);
 }
 
 void
 gossip_sender::AnnounceHelpRefusal(engine_key aEngine)
 {
-  mGathered.mHelpRefused.push_back(aEngine);
-  Concern({ aEngine });
+  mBatch.mHelpRefused.push_back(aEngine);
+  AddBatchEngines({ aEngine });
   ScheduleFlush(kBatchDelay);
 }
 
 void
 gossip_sender::AnnounceEndpointFailure(engine_key aEndpoint)
 {
-  mGathered.mTroubled.push_back(aEndpoint);
-  Concern({ aEndpoint });
+  mBatch.mFailedEndpoints.push_back(aEndpoint);
+  AddBatchEngines({ aEndpoint });
   ScheduleFlush(kBatchDelay);
 }
 
 void
 gossip_sender::AnnounceLimit(const limit_report& aLimit)
 {
-  mGathered.mLimits.push_back(aLimit);
-  Concern({ aLimit.mEndpoint });
+  mBatch.mLimits.push_back(aLimit);
+  AddBatchEngines({ aLimit.mEndpoint });
   ScheduleFlush(kBatchDelay);
 }
 
@@ -121,25 +124,28 @@
 }
 
 void
-gossip_sender::BroadcastQuarantined(const std::vector<held_request>& aHeld)
+gossip_sender::BroadcastQuarantined(
+  const std::vector<held_request>& aQuarantined)
 {
-  mBroadcastBatch.mHeld.insert(
-    mBroadcastBatch.mHeld.end(), aHeld.begin(), aHeld.end());
+  mBroadcastBatch.mQuarantined.insert(mBroadcastBatch.mQuarantined.end(),
+                                      aQuarantined.begin(),
+                                      aQuarantined.end());
   ScheduleBroadcast();
 }
 
 void
-gossip_sender::SendQuarantined(const std::vector<held_request>& aHeld,
+gossip_sender::SendQuarantined(const std::vector<held_request>& aQuarantined,
                                const std::string& aHost)
 {
-  for (std::size_t from = 0; from < aHeld.size();
+  for (std::size_t from = 0; from < aQuarantined.size();
        from += kMaxQuarantinedPerDatagram) {
-    peer_message message = Message();
-    const auto begin = aHeld.begin() + static_cast<std::ptrdiff_t>(from);
+    peer_message message = NewMessage();
+    const auto begin = aQuarantined.begin() + static_cast<std::ptrdiff_t>(from);
     const std::size_t count =
-      std::min(kMaxQuarantinedPerDatagram, aHeld.size() - from);
-    message.mUpdates.mHeld = { begin,
-                               begin + static_cast<std::ptrdiff_t>(count) };
+      std::min(kMaxQuarantinedPerDatagram, aQuarantined.size() - from);
+    message.mUpdates.mQuarantined = {
+      begin, begin + static_cast<std::ptrdiff_t>(count)
+    };
     const std::string bytes = EncodePeerMessage(message, mLoop.Now());
     CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, bytes.size());
     Send(bytes, aHost);
@@ -151,7 +157,7 @@
 {
   const std::size_t gathered = mBroadcastBatch.mCrashes.size() +
                                mBroadcastBatch.mCleared.size() +
-                               mBroadcastBatch.mHeld.size();
+                               mBroadcastBatch.mQuarantined.size();
   if (gathered >= kMaxQuarantinedPerDatagram) {
     FlushBroadcast();
     return;
@@ -168,7 +174,7 @@
 gossip_sender::FlushBroadcast()
 {
   mLoop.Cancel(mBroadcastTimer);
-  peer_message message = Message();
+  peer_message message = NewMessage();
   message.mUpdates = std::exchange(mBroadcastBatch, {});
   if (message.mUpdates == peer_updates{}) {
     return;
@@ -178,7 +184,8 @@
     Send(bytes, host);
   }
   const std::size_t sent = bytes.size() * mBoard.mPeers.size();
-  // Placements go to fewer peers for a while: their bytes are what can wait.
+  // Broadcasts are never cut, so their bytes are charged to the budget of
+  // placements, which then go to fewer peers for a while.
   ChargeNews(mBudget, sent, mLoop.Now());
   CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
 }
@@ -196,26 +203,26 @@
 }
 
 void
-gossip_sender::ScheduleFlush(duration aSpan)
+gossip_sender::ScheduleFlush(duration aDelay)
 {
-  if (mGathered.mPlaced.size() >= kMaxPlacementsPerDatagram) {
+  if (mBatch.mNewPlacements.size() >= kMaxPlacementsPerDatagram) {
     Flush();
     return;
   }
-  const time_point due = mLoop.Now() + aSpan;
+  const time_point due = mLoop.Now() + aDelay;
   if (mFlushTimer != 0 && mFlushAt <= due) {
     return;
   }
   mLoop.Cancel(mFlushTimer);
   mFlushAt = due;
-  mFlushTimer = mLoop.After(aSpan, [this]() {
+  mFlushTimer = mLoop.After(aDelay, [this]() {
     mFlushTimer = 0;
     Flush();
   });
 }
 
 peer_message
-gossip_sender::Message() const
+gossip_sender::NewMessage() const
 {
   peer_message message;
   message.mBoot = mBoard.mBoot;
@@ -226,11 +233,11 @@
 }
 
 std::string
-gossip_sender::EncodeHeartbeat(bool aNamesHosts)
+gossip_sender::EncodeHeartbeat(bool aListsHosts)
 {
-  peer_message message = Message();
+  peer_message message = NewMessage();
   message.mQuarantineHash = HeldState(mBoard.mQuarantine);
-  if (!aNamesHosts) {
+  if (!aListsHosts) {
     return EncodePeerMessage(message, mLoop.Now());
   }
   const std::size_t hosts =
@@ -254,18 +261,18 @@
   if (mBatchEngines.empty()) {
     return;
   }
-  peer_message message = Message();
-  message.mUpdates = std::exchange(mGathered, {});
-  const std::vector<std::string> concerned = HostsThatPrefer(
+  peer_message message = NewMessage();
+  message.mUpdates = std::exchange(mBatch, {});
+  const std::vector<std::string> recipients = HostsThatPrefer(
     mBoard.mRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
   const std::string bytes = EncodePeerMessage(message, mLoop.Now());
-  for (const std::string& host : ChooseRecipients(concerned, bytes.size())) {
+  for (const std::string& host : ChooseRecipients(recipients, bytes.size())) {
     Send(bytes, host);
   }
 }
 
 void
-gossip_sender::Concern(const std::vector<engine_key>& aEngines)
+gossip_sender::AddBatchEngines(const std::vector<engine_key>& aEngines)
 {
   mBatchEngines.insert(mBatchEngines.end(), aEngines.begin(), aEngines.end());
 }
@@ -274,72 +281,73 @@
 gossip_sender::ChooseRecipients(const std::vector<std::string>& aHosts,
                                 std::size_t aBytes)
 {
-  const std::size_t told =
+  const std::size_t chosen =
     TakePeersToTell(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
-    "gateway_news_total", "told", told == aHosts.size() ? "all" : "some"));
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, told * aBytes);
-  if (told == aHosts.size()) {
+    "gateway_news_total", "told", chosen == aHosts.size() ? "all" : "some"));
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, chosen * aBytes);
+  if (chosen == aHosts.size()) {
     return aHosts;
   }
   std::vector<std::string> drawn;
   std::sample(aHosts.begin(),
               aHosts.end(),
               std::back_inserter(drawn),
-              told,
+              chosen,
               mBoard.mRandom);
   return drawn;
 }
 
 void
-gossip_sender::Beat(const std::string& aHost)
+gossip_sender::SendHeartbeat(const std::string& aHost)
 {
   Send(EncodeHeartbeat(true), aHost);
 }
 
 void
-gossip_sender::Beat()
+gossip_sender::SendHeartbeats()
 {
-  // Whoever hears of no placement of this entry hears a beat now and then, each
-  // in its turn.
+  // Heartbeats rotate over the peers, so that also those that receive none of
+  // this gateway's placements hear from it regularly.
   const std::string bytes =
     EncodeHeartbeat(mHeartbeats++ % kHeartbeatsPerHostList == 0);
-  const std::size_t told = PeersPerBeat(mBoard.mPeers.size());
+  const std::size_t chosen = PeersPerBeat(mBoard.mPeers.size());
   std::map<std::string, peer_entry>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastHeartbeatHost);
-  for (std::size_t i = 0; i < told; ++i, ++next) {
+  for (std::size_t i = 0; i < chosen; ++i, ++next) {
     if (next == mBoard.mPeers.end()) {
       next = mBoard.mPeers.begin();
     }
     mLastHeartbeatHost = next->first;
     Send(bytes, next->first);
   }
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::BeatsSent, told * bytes.size());
+  CountPeerBytes(
+    mBoard.mMetrics, peer_traffic::BeatsSent, chosen * bytes.size());
 }
 
 void
 gossip_sender::SendInitialState(const std::string& aHost)
 {
-  // A new peer knows nothing of what this entry has placed, and would take
-  // busy engines for idle ones, and limited endpoints for unlimited ones.
-  peer_message message = Message();
+  // Without this gateway's placements and known limits, a new peer would treat
+  // busy engines as idle and limited endpoints as unlimited.
+  peer_message message = NewMessage();
   message.mUpdates.mLimits = KnownLimits(mBoard);
-  std::vector<placement>& own = message.mUpdates.mPlaced;
+  std::vector<placement>& ownPlacements = message.mUpdates.mNewPlacements;
   for (const auto& [key, placed] : mBoard.mLedger.mPlacements) {
     if (placed.mOwner != mBoard.mBoot) {
       continue;
     }
-    own.push_back(placed);
-    // Reading that was placed a while ago is mostly done.
-    own.back().mPartMs = 0;
-    if (own.size() == kMaxPlacementsPerDatagram) {
+    ownPlacements.push_back(placed);
+    // The prefill of a placement made a while ago is mostly done.
+    ownPlacements.back().mPartMs = 0;
+    if (ownPlacements.size() == kMaxPlacementsPerDatagram) {
       Send(EncodePeerMessage(message, mLoop.Now()), aHost);
-      own.clear();
+      ownPlacements.clear();
       message.mUpdates.mLimits.clear();
     }
   }
-  if (own.empty() && message.mUpdates.mLimits.empty()) {
-    Beat(aHost);
+  if (ownPlacements.empty() && message.mUpdates.mLimits.empty()) {
+    SendHeartbeat(aHost);
   } else {
     Send(EncodePeerMessage(message, mLoop.Now()), aHost);
   }
--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What this entry tells the others by datagram: gathered for some milliseconds
-/// and sent to those whom it concerns.
+/// Sends this gateway's gossip datagrams: updates are batched for some
+/// milliseconds and sent to the peers that they concern.
 
 #include "LibGateway/GatewayBoard.h"
 #include "LibGateway/PeerMessage.h"
@@ -18,64 +18,68 @@
   gossip_sender(const gossip_sender&) = delete;
   gossip_sender& operator=(const gossip_sender&) = delete;
 
-  /// Until then nothing is sent.
+  /// Sets the socket; nothing is sent before.
   void Open(datagram_socket& aSocket);
-  void AnnouncePlacement(const placement& aPlaced);
-  /// `aEngines` are those that were told when it was placed.
+  // The Announce functions send to the peers that prefer the engines concerned.
+  void AnnouncePlacement(const placement& aPlacement);
+  /// `aEngines` are those of the placement as it was announced.
   void AnnouncePlacementEnd(placement_key aKey,
                             placement_end aEnd,
                             const std::vector<engine_key>& aEngines);
-  /// An engine refused to read for others: those who are told leave it out too,
-  /// instead of being refused in their turn.
+  /// An engine refused to serve as a prefill helper. Peers then leave it out
+  /// too, instead of being refused in turn.
   void AnnounceHelpRefusal(engine_key aEngine);
-  /// An endpoint broke off, was silent or was not reached.
+  /// An endpoint's connection broke, or it did not answer or was unreachable.
   void AnnounceEndpointFailure(engine_key aEndpoint);
   /// An endpoint's limit started, changed, was confirmed or ended.
   void AnnounceLimit(const limit_report& aLimit);
-  /// An endpoint ended under a request. All entries have to know, since the
-  /// request may come again at any of them.
+  // The Broadcast functions send to all peers.
+  /// An endpoint crashed while it ran a request. All gateways need the report,
+  /// since any of them may receive the request next.
   void BroadcastCrash(const crash_report& aReport);
-  /// A request that others may hold or suspect was answered here.
+  /// This gateway answered a request that peers may suspect or quarantine.
   void BroadcastCleared(request_digest aRequest);
-  void BroadcastQuarantined(const std::vector<held_request>& aHeld);
-  /// Tells one peer all that this entry holds.
-  void SendQuarantined(const std::vector<held_request>& aHeld,
+  void BroadcastQuarantined(const std::vector<held_request>& aQuarantined);
+  /// Sends these quarantined requests to one peer.
+  void SendQuarantined(const std::vector<held_request>& aQuarantined,
                        const std::string& aHost);
+  /// Sends what is batched, then tells all peers that this gateway is leaving.
   void BroadcastLeaving();
-  /// Shows one host that this entry is there.
-  void Beat(const std::string& aHost);
-  /// Shows it to all peers, or to some in turn where they are many.
-  void Beat();
-  /// Tells a new peer what this entry has placed.
+  void SendHeartbeat(const std::string& aHost);
+  /// Sends a heartbeat to all peers, or round-robin to some if they are many.
+  void SendHeartbeats();
+  /// Sends this gateway's placements and known limits to a new peer.
   void SendInitialState(const std::string& aHost);
 
 private:
   void Flush();
-  /// Sends what is gathered after this span, or earlier if that was asked.
-  void ScheduleFlush(duration aSpan);
+  /// Sends the batch after this delay, or earlier if an earlier time is already
+  /// scheduled.
+  void ScheduleFlush(duration aDelay);
   void FlushBroadcast();
   void ScheduleBroadcast();
-  /// What is gathered concerns those who prefer these engines.
-  void Concern(const std::vector<engine_key>& aEngines);
-  /// As many of these as the budget allows.
+  /// The batch goes to the peers that prefer any of these engines.
+  void AddBatchEngines(const std::vector<engine_key>& aEngines);
+  /// As many of these hosts as the byte budget allows, drawn at random.
   std::vector<std::string> ChooseRecipients(
     const std::vector<std::string>& aHosts,
     std::size_t aBytes);
-  peer_message Message() const;
-  std::string EncodeHeartbeat(bool aNamesHosts);
+  /// A message with only the fields that every datagram has.
+  peer_message NewMessage() const;
+  std::string EncodeHeartbeat(bool aListsHosts);
   void Send(const std::string& aBytes, const std::string& aHost);
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
   gateway_board& mBoard;
   datagram_socket* mSocket = nullptr;
-  peer_updates mGathered;                ///< Not yet told.
-  std::vector<engine_key> mBatchEngines; ///< Engines of what is gathered.
-  std::string mLastHeartbeatHost;        ///< The host.
+  peer_updates mBatch;
+  std::vector<engine_key> mBatchEngines; ///< Engines that `mBatch` concerns.
+  std::string mLastHeartbeatHost;
   unsigned mHeartbeats = 0;
   news_budget mBudget;
   bool mLeaving = false;
-  peer_updates mBroadcastBatch; ///< Not yet told.
+  peer_updates mBroadcastBatch;
   timer_id mBroadcastTimer = 0;
   timer_id mFlushTimer = 0;
   time_point mFlushAt{};
--- a/Libraries/LibGateway/HttpResponder.cpp
+++ b/Libraries/LibGateway/HttpResponder.cpp
@@ -9,9 +9,11 @@
 
 } // namespace
 
-http_responder::http_responder(event_loop& aLoop, int aSocket, asked aAsked)
+http_responder::http_responder(event_loop& aLoop,
+                               int aSocket,
+                               request_handler aHandler)
   : mLoop(aLoop)
-  , mAsked(std::move(aAsked))
+  , mHandler(std::move(aHandler))
   , mChannel(std::make_shared<tcp_channel>(aLoop, aSocket, kLimits))
   , mReader(http_role::Request, http_limits{})
 {
@@ -19,11 +21,11 @@
 }
 
 void
-http_responder::Serve(event_loop& aLoop, int aSocket, asked aAsked)
+http_responder::Serve(event_loop& aLoop, int aSocket, request_handler aHandler)
 {
-  const std::shared_ptr<http_responder> made(
-    new http_responder(aLoop, aSocket, std::move(aAsked)));
-  made->mSelf = made;
+  const std::shared_ptr<http_responder> responder(
+    new http_responder(aLoop, aSocket, std::move(aHandler)));
+  responder->mSelf = responder;
 }
 
 void
@@ -37,12 +39,12 @@
     Close();
     return;
   }
-  const answer given = mAsked();
-  std::string text = "HTTP/1.1 " + std::to_string(given.mStatus) + ' ';
-  text.append(ReasonPhrase(given.mStatus)).append("\r\n");
+  const answer response = mHandler();
+  std::string text = "HTTP/1.1 " + std::to_string(response.mStatus) + ' ';
+  text.append(ReasonPhrase(response.mStatus)).append("\r\n");
   AppendField(text, "Content-Type", "text/plain");
-  AppendField(text, "Content-Length", std::to_string(given.mBody.size()));
-  text.append("\r\n").append(given.mBody);
+  AppendField(text, "Content-Length", std::to_string(response.mBody.size()));
+  text.append("\r\n").append(response.mBody);
   aChannel.Write(text);
   if (!mReader.Head().mKeepAlive) {
     aChannel.SetOwner(nullptr);
--- a/Libraries/LibGateway/HttpResponder.h
+++ b/Libraries/LibGateway/HttpResponder.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Answers the balancer's and the monitoring's questions, one a connection or
-/// many.
+/// A minimal HTTP server connection that gives the same answer to each request,
+/// whatever its path: for the load balancer's health checks, metrics scrapes
+/// and table snapshots for peers. Supports keep-alive.
 
 #include "LibNet/LibNet.h"
 
@@ -15,20 +16,20 @@
     unsigned mStatus = 0;
     std::string mBody;
   };
-  using asked = std::function<answer()>;
+  using request_handler = std::function<answer()>;
 
-  /// Answers each request on the socket and ends with it.
-  static void Serve(event_loop& aLoop, int aSocket, asked aAsked);
+  /// Answers each request on the socket; deletes itself with the connection.
+  static void Serve(event_loop& aLoop, int aSocket, request_handler aHandler);
 
   void OnInput(tcp_channel& aChannel) override;
   void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
 
 private:
-  http_responder(event_loop& aLoop, int aSocket, asked aAsked);
+  http_responder(event_loop& aLoop, int aSocket, request_handler aHandler);
   void Close();
 
   event_loop& mLoop;
-  asked mAsked;
+  request_handler mHandler;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
   std::shared_ptr<http_responder> mSelf; ///< Until the connection ends.
--- a/Libraries/LibGateway/LimitBoard.cpp
+++ b/Libraries/LibGateway/LimitBoard.cpp
@@ -32,7 +32,7 @@
            known_endpoint& aEndpoint,
            const limit_report& aLimit,
            time_point aNow,
-           const std::string& aToldBy)
+           const std::string& aReporter)
 {
   endpoint_limit& limit = aEndpoint.mLimit;
   const bool changed =
@@ -46,7 +46,7 @@
       { { "endpoint", aEndpoint.mListed.mId },
         { "per_second", limit.mPerSecond.value_or(0) },
         { "own_per_second", limit.mOwnPerSecond },
-        { "told_by", aToldBy },
+        { "told_by", aReporter },
         { "age_ms", Milliseconds(aNow - aLimit.mObserved) } });
   return true;
 }
--- a/Libraries/LibGateway/LimitBoard.h
+++ b/Libraries/LibGateway/LimitBoard.h
@@ -1,24 +1,24 @@
 #pragma once
 
-/// Updates the rate limits of endpoints on the gateway's board.
+/// Updates the rate limits of endpoints in the gateway's shared state.
 
 #include "LibGateway/GatewayBoard.h"
 #include "LibGateway/PeerMessage.h"
 
 namespace primrose {
 
-/// Applies an endpoint's limit, observed by this entry (`aToldBy` empty) or
-/// told by the entry at `aToldBy`. If the rate changed, recomputes the share of
-/// the entry at `aOwnHost`, logs the change and returns true.
+/// Applies an endpoint's limit, observed by this gateway (`aReporter` empty) or
+/// reported by the gateway at `aReporter`. If the rate changed, recomputes the
+/// share of the gateway at `aOwnHost`, logs the change and returns true.
 bool
 ApplyLimit(gateway_board& aBoard,
            const std::string& aOwnHost,
            known_endpoint& aEndpoint,
            const limit_report& aLimit,
            time_point aNow,
-           const std::string& aToldBy);
+           const std::string& aReporter);
 
-/// Recomputes this entry's shares after entries or endpoints changed.
+/// Recomputes this gateway's shares after gateways or endpoints changed.
 void
 UpdateLimitShares(gateway_board& aBoard,
                   const std::string& aOwnHost,
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -9,24 +9,26 @@
 
 namespace {
 
-/// How often an entry shows that it is there, and after how many times the
-/// usual span between two of its beats a silent one counts as gone.
+/// Interval of heartbeats, and after how many times the usual spacing of its
+/// heartbeats a peer without any counts as lost.
 constexpr duration kHeartbeatInterval = std::chrono::seconds(1);
 constexpr unsigned kMissedHeartbeats = 4;
-/// Hosts not heard from are asked every so many beats.
+/// Candidate hosts are sent a heartbeat once every so many intervals.
 constexpr unsigned kCandidateHeartbeats = 3;
 
-/// The usual span between two beats of one peer, as this entry hears them.
+/// The usual time between two heartbeats that are received from one peer. Where
+/// peers are many, each interval's heartbeat goes to only some of them.
 duration
 HeartbeatSpacing(std::size_t aPeers)
 {
-  const std::size_t told = PeersPerBeat(aPeers);
-  return told == aPeers
+  const std::size_t recipients = PeersPerBeat(aPeers);
+  return recipients == aPeers
            ? kHeartbeatInterval
-           : kHeartbeatInterval * static_cast<int>((aPeers + told - 1) / told);
+           : kHeartbeatInterval *
+               static_cast<int>((aPeers + recipients - 1) / recipients);
 }
 
-/// The endpoint that peers name by this key; null if it is not listed here.
+/// The endpoint that peers identify by this key; null if it is not listed here.
 known_endpoint*
 FindByKey(endpoint_board& aBoard, engine_key aKey)
 {
@@ -102,14 +104,14 @@
 peer_gossip::peer_gossip(event_loop& aLoop,
                          const gateway_settings& aSettings,
                          gateway_board& aBoard,
-                         gossip_sender& aOutbox,
-                         crash_detector& aCrashes,
-                         const behind& aBehind)
+                         gossip_sender& aSender,
+                         crash_detector& aCrashDetector,
+                         const stale_callback& aOnStale)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
-  , mOutbox(aOutbox)
-  , mCrashes(aCrashes)
+  , mSender(aSender)
+  , mCrashDetector(aCrashDetector)
   , mManifestStaleness(
       aLoop,
       aBoard,
@@ -120,13 +122,13 @@
         }
         return ManifestHeld(aBoard);
       },
-      [aBehind](duration aPatience) { aBehind(belief::Manifest, aPatience); })
+      [aOnStale](duration aTimeout) { aOnStale(belief::Manifest, aTimeout); })
   , mListStaleness(
       aLoop,
       aBoard,
       "endpoints",
       [&aBoard]() { return std::optional(ListHeld(aBoard)); },
-      [aBehind](duration aPatience) { aBehind(belief::Endpoints, aPatience); })
+      [aOnStale](duration aTimeout) { aOnStale(belief::Endpoints, aTimeout); })
 {
 }
 
@@ -145,9 +147,9 @@
                       [this](std::string_view aBytes, const ip_address& aFrom) {
                         OnDatagram(aBytes, aFrom);
                       }));
-  mOutbox.Open(*mSocket);
+  mSender.Open(*mSocket);
   AddHosts(mSettings.mSeeds);
-  Beat();
+  RunHeartbeat();
   return {};
 }
 
@@ -156,8 +158,8 @@
 {
   for (const std::string& host : aHosts) {
     if (host != mSettings.mPeers.mHost && !mBoard.mPeers.contains(host) &&
-        mCandidates.insert(host).second) {
-      mOutbox.Beat(host);
+        mCandidateHosts.insert(host).second) {
+      mSender.SendHeartbeat(host);
     }
   }
 }
@@ -166,7 +168,7 @@
 peer_gossip::ApplyEndpointUpdate(
   engine_key aEndpoint,
   const std::string& aHost,
-  const std::function<void(endpoint_health&, time_point)>& aNote)
+  const std::function<void(endpoint_health&, time_point)>& aUpdate)
 {
   const time_point now = mLoop.Now();
   known_endpoint* const known = FindByKey(mBoard.mEndpoints, aEndpoint);
@@ -174,7 +176,7 @@
     return;
   }
   const time_point before = known->mHealth.mAvoidUntil;
-  aNote(known->mHealth, now);
+  aUpdate(known->mHealth, now);
   if (known->mHealth.mAvoidUntil == before) {
     return;
   }
@@ -187,20 +189,20 @@
 }
 
 void
-peer_gossip::Beat()
+peer_gossip::RunHeartbeat()
 {
   RemoveSilentPeers();
   CompareWithLivePeers();
-  mOutbox.Beat();
+  mSender.SendHeartbeats();
   if (mHeartbeats % kCandidateHeartbeats == 0) {
-    for (const std::string& host : mCandidates) {
-      mOutbox.Beat(host);
+    for (const std::string& host : mCandidateHosts) {
+      mSender.SendHeartbeat(host);
     }
   }
   ++mHeartbeats;
   mHeartbeatTimer = mLoop.After(kHeartbeatInterval, [this]() {
     mHeartbeatTimer = 0;
-    Beat();
+    RunHeartbeat();
   });
 }
 
@@ -209,14 +211,14 @@
 {
   mNewestPeerManifest = std::max(mNewestPeerManifest, aManifest);
   mNewestPeerList = std::max(mNewestPeerList, aList);
-  mManifestStaleness.Told(mNewestPeerManifest);
-  mListStaleness.Told(mNewestPeerList);
+  mManifestStaleness.SetNewestPeerVersion(mNewestPeerManifest);
+  mListStaleness.SetNewestPeerVersion(mNewestPeerList);
 }
 
 void
 peer_gossip::CompareWithLivePeers()
 {
-  // What only a peer knew that is gone can be asked of nobody.
+  // A version that only a lost peer had cannot be fetched from anyone.
   mNewestPeerManifest = 0;
   mNewestPeerList = 0;
   for (const auto& [host, peer] : mBoard.mPeers) {
@@ -242,7 +244,7 @@
         { { "host", peer->first },
           { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
     ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
-    mCandidates.insert(peer->first);
+    mCandidateHosts.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
     mBoard.mRingStale = true;
   }
@@ -265,7 +267,7 @@
   if (message.mBoot == mBoard.mBoot) {
     return;
   }
-  mCandidates.erase(aFrom.mHost);
+  mCandidateHosts.erase(aFrom.mHost);
   if (message.mLeaving) {
     mBoard.mPeers.erase(aFrom.mHost);
     mBoard.mRingStale = true;
@@ -296,35 +298,36 @@
     Log(log_level::Info,
         "peer_found",
         { { "host", aHost }, { "peers", mBoard.mPeers.size() } });
-    mOutbox.SendInitialState(aHost);
+    mSender.SendInitialState(aHost);
   }
 }
 
 void
-peer_gossip::ApplyUpdates(const peer_updates& aNews, const std::string& aHost)
+peer_gossip::ApplyUpdates(const peer_updates& aUpdates,
+                          const std::string& aHost)
 {
   const time_point now = mLoop.Now();
   mBoard.mMetrics.Count("gateway_placements_heard_total",
-                        static_cast<double>(aNews.mPlaced.size()));
-  for (const placement& placed : aNews.mPlaced) {
+                        static_cast<double>(aUpdates.mNewPlacements.size()));
+  for (const placement& placed : aUpdates.mNewPlacements) {
     NotePlaced(mBoard.mLedger, placed, now);
   }
-  for (const placement_key key : aNews.mEnded) {
+  for (const placement_key key : aUpdates.mEndedPlacements) {
     NoteEnded(mBoard.mLedger, key, placement_end::Read, now);
   }
-  for (const placement_key key : aNews.mUnread) {
+  for (const placement_key key : aUpdates.mEndedBeforePrefill) {
     NoteEnded(mBoard.mLedger, key, placement_end::Unread, now);
   }
-  for (const engine_key engine : aNews.mHelpRefused) {
+  for (const engine_key engine : aUpdates.mHelpRefused) {
     ApplyEndpointUpdate(
       engine, aHost, [](endpoint_health& aHealth, time_point aNow) {
         NoteSign(aHealth, endpoint_sign::Unwilling, aNow);
       });
   }
-  for (const engine_key endpoint : aNews.mTroubled) {
+  for (const engine_key endpoint : aUpdates.mFailedEndpoints) {
     ApplyEndpointUpdate(endpoint, aHost, NoteTold);
   }
-  for (const limit_report& limit : aNews.mLimits) {
+  for (const limit_report& limit : aUpdates.mLimits) {
     if (known_endpoint* const known =
           FindByKey(mBoard.mEndpoints, limit.mEndpoint);
         known != nullptr) {
@@ -339,15 +342,15 @@
 peer_gossip::ApplyCrashUpdates(const peer_message& aMessage,
                                const std::string& aHost)
 {
-  const peer_updates& news = aMessage.mUpdates;
-  for (const request_digest cleared : news.mCleared) {
-    mCrashes.OnPeerCleared(cleared, aHost);
+  const peer_updates& updates = aMessage.mUpdates;
+  for (const request_digest cleared : updates.mCleared) {
+    mCrashDetector.OnPeerCleared(cleared, aHost);
   }
-  for (const crash_report& report : news.mCrashes) {
-    mCrashes.OnPeerCrashReport(report, aHost);
+  for (const crash_report& report : updates.mCrashes) {
+    mCrashDetector.OnPeerCrashReport(report, aHost);
   }
-  mCrashes.MergeQuarantined(news.mHeld, aHost);
-  mCrashes.OnPeerQuarantineHash(aMessage.mQuarantineHash, aHost);
+  mCrashDetector.MergeQuarantined(updates.mQuarantined, aHost);
+  mCrashDetector.OnPeerQuarantineHash(aMessage.mQuarantineHash, aHost);
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/PeerGossip.h
+++ b/Libraries/LibGateway/PeerGossip.h
@@ -1,14 +1,15 @@
 #pragma once
 
-/// The other entries, as their datagrams show them: who is there, what each has
-/// placed where, and who knows more of the store's tables.
+/// Processes the gossip datagrams of other gateways: membership, their
+/// placements, reports about endpoints, and which versions of the store's
+/// tables they have.
 
 #include "LibGateway/CrashDetector.h"
 #include "LibGateway/StalenessDetector.h"
 
 namespace primrose {
 
-/// What the store's tables make an entry believe.
+/// A table of the platform's store of which each gateway keeps a copy.
 enum class belief : std::uint8_t
 {
   Manifest,
@@ -18,51 +19,56 @@
 class peer_gossip
 {
 public:
-  /// Called when a peer has had something newer for so long.
-  using behind = std::function<void(belief aBelief, duration aPatience)>;
+  /// Called when a peer has had a newer version for this long.
+  using stale_callback = std::function<void(belief aBelief, duration aTimeout)>;
 
   peer_gossip(event_loop& aLoop,
               const gateway_settings& aSettings,
               gateway_board& aBoard,
-              gossip_sender& aOutbox,
-              crash_detector& aCrashes,
-              const behind& aBehind);
+              gossip_sender& aSender,
+              crash_detector& aCrashDetector,
+              const stale_callback& aOnStale);
   ~peer_gossip();
   peer_gossip(const peer_gossip&) = delete;
   peer_gossip& operator=(const peer_gossip&) = delete;
 
   result<void> Open();
-  /// Hosts of entries that were learnt from elsewhere.
+  /// Adds hosts of gateways as candidates; they become peers once a
+  /// datagram from them arrives.
   void AddHosts(const std::vector<std::string>& aHosts);
 
 private:
-  void Beat();
+  /// Removes silent peers, compares versions and sends heartbeats; runs once
+  /// per `kHeartbeatInterval`.
+  void RunHeartbeat();
   void OnDatagram(std::string_view aBytes, const ip_address& aFrom);
   void RemoveSilentPeers();
-  /// Compares what this entry holds with what a peer says it holds.
+  /// Compares this gateway's table versions with the newest reported by peers.
   void CompareVersions(std::uint64_t aManifest, std::uint64_t aList);
-  /// The same with all peers that are there.
+  /// Recomputes the newest versions from the current peers, then compares.
   void CompareWithLivePeers();
-  /// Takes note of what a peer told of an endpoint; logs if it is avoided for
-  /// that.
+  /// Applies a peer's report to the health of an endpoint; logs if the endpoint
+  /// is avoided because of it.
   void ApplyEndpointUpdate(
     engine_key aEndpoint,
     const std::string& aHost,
-    const std::function<void(endpoint_health&, time_point)>& aNote);
-  /// Notes that the peer is there; greets it if it has just started.
+    const std::function<void(endpoint_health&, time_point)>& aUpdate);
+  /// Records that the peer is alive; sends it the initial state if it is new or
+  /// has just started.
   void RecordPeer(const peer_message& aMessage, const std::string& aHost);
-  void ApplyUpdates(const peer_updates& aNews, const std::string& aHost);
+  void ApplyUpdates(const peer_updates& aUpdates, const std::string& aHost);
   void ApplyCrashUpdates(const peer_message& aMessage,
                          const std::string& aHost);
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
   gateway_board& mBoard;
-  gossip_sender& mOutbox;
-  crash_detector& mCrashes;
+  gossip_sender& mSender;
+  crash_detector& mCrashDetector;
   std::unique_ptr<datagram_socket> mSocket;
-  std::set<std::string> mCandidates;     ///< Hosts not heard from yet.
-  std::uint64_t mNewestPeerManifest = 0; ///< That a peer has told of.
+  std::set<std::string>
+    mCandidateHosts; ///< Hosts from which nothing was received yet.
+  std::uint64_t mNewestPeerManifest = 0; ///< Reported by peers.
   std::uint64_t mNewestPeerList = 0;
   staleness_detector mManifestStaleness;
   staleness_detector mListStaleness;
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-/// The largest message that is taken, in words of eight bytes.
-constexpr std::uint64_t kMostWords = 4096;
-constexpr double kMicrosInMs = 1e3;
-constexpr double kCentsInOne = 1e2;
-constexpr double kMillisInOne = 1e3;
+/// The largest message that is accepted, in words of eight bytes.
+constexpr std::uint64_t kMaxMessageWords = 4096;
+constexpr double kMicrosecondsPerMs = 1e3;
+constexpr double kCentsPerUnit = 1e2;
+constexpr double kMillisPerUnit = 1e3;
 
 std::uint32_t
-Whole(double aValue)
+RoundToUint32(double aValue)
 {
   constexpr double kMost = 4e9;
   return static_cast<std::uint32_t>(std::clamp(std::round(aValue), 0.0, kMost));
 }
 
 std::uint32_t
-WholeMs(duration aSpan)
+RoundToMilliseconds(duration aSpan)
 {
-  return Whole(static_cast<double>(Milliseconds(aSpan)));
+  return RoundToUint32(static_cast<double>(Milliseconds(aSpan)));
 }
 
 void
@@ -74,97 +74,102 @@
 }
 
 void
-WriteWork(wire::PlacedWork::Builder aWork,
-          const placement& aPlaced,
-          time_point aNow)
+WritePlacement(wire::PlacedWork::Builder aEncoded,
+               const placement& aPlacement,
+               time_point aNow)
 {
-  aWork.setSequence(SequenceOf(aPlaced.mKey));
+  aEncoded.setSequence(SequenceOf(aPlacement.mKey));
   WriteNumbers(
-    aWork.initEngines(static_cast<unsigned>(aPlaced.mEngines.size())),
-    aPlaced.mEngines);
-  aWork.setPartMicros(Whole(aPlaced.mPartMs * kMicrosInMs));
-  aWork.setPauseMs(WholeMs(aPlaced.mLongestPause));
-  aWork.setTokens(Whole(aPlaced.mTokens));
-  aWork.setLifeMs(WholeMs(aPlaced.mExpires - aNow));
-  aWork.setObjectiveMs(WholeMs(aPlaced.mObjective));
-  aWork.setElapsedMs(WholeMs(aNow - aPlaced.mBegan));
-  aWork.setWorthCents(Whole(aPlaced.mWorth * kCentsInOne));
-  if (!aPlaced.mHolders.empty()) {
+    aEncoded.initEngines(static_cast<unsigned>(aPlacement.mEngines.size())),
+    aPlacement.mEngines);
+  aEncoded.setPartMicros(
+    RoundToUint32(aPlacement.mPartMs * kMicrosecondsPerMs));
+  aEncoded.setPauseMs(RoundToMilliseconds(aPlacement.mLongestPause));
+  aEncoded.setTokens(RoundToUint32(aPlacement.mTokens));
+  aEncoded.setLifeMs(RoundToMilliseconds(aPlacement.mExpires - aNow));
+  aEncoded.setObjectiveMs(RoundToMilliseconds(aPlacement.mObjective));
+  aEncoded.setElapsedMs(RoundToMilliseconds(aNow - aPlacement.mBegan));
+  aEncoded.setWorthCents(RoundToUint32(aPlacement.mWorth * kCentsPerUnit));
+  if (!aPlacement.mHolders.empty()) {
     WriteNumbers(
-      aWork.initHolders(static_cast<unsigned>(aPlaced.mHolders.size())),
-      aPlaced.mHolders);
-    aWork.setHolderTokens(Whole(aPlaced.mHolderTokens));
+      aEncoded.initHolders(static_cast<unsigned>(aPlacement.mHolders.size())),
+      aPlacement.mHolders);
+    aEncoded.setHolderTokens(RoundToUint32(aPlacement.mHolderTokens));
   }
 }
 
 placement
-ReadWork(wire::PlacedWork::Reader aWork, std::uint64_t aOwner, time_point aNow)
+ReadPlacement(wire::PlacedWork::Reader aEncoded,
+              std::uint64_t aOwner,
+              time_point aNow)
 {
-  placement told;
-  told.mKey = PlacementKey(aOwner, aWork.getSequence());
-  told.mOwner = aOwner;
-  told.mEngines = ReadNumbers(aWork.getEngines());
-  told.mPartMs = aWork.getPartMicros() / kMicrosInMs;
-  told.mLongestPause = std::chrono::milliseconds(aWork.getPauseMs());
-  told.mObjective = std::chrono::milliseconds(aWork.getObjectiveMs());
-  told.mBegan = aNow - std::chrono::milliseconds(aWork.getElapsedMs());
-  told.mWorth = aWork.getWorthCents() / kCentsInOne;
-  told.mTokens = aWork.getTokens();
-  told.mHolders = ReadNumbers(aWork.getHolders());
-  told.mHolderTokens = aWork.getHolderTokens();
-  told.mExpires = aNow + std::chrono::milliseconds(aWork.getLifeMs());
-  return told;
+  placement decoded;
+  decoded.mKey = PlacementKey(aOwner, aEncoded.getSequence());
+  decoded.mOwner = aOwner;
+  decoded.mEngines = ReadNumbers(aEncoded.getEngines());
+  decoded.mPartMs = aEncoded.getPartMicros() / kMicrosecondsPerMs;
+  decoded.mLongestPause = std::chrono::milliseconds(aEncoded.getPauseMs());
+  decoded.mObjective = std::chrono::milliseconds(aEncoded.getObjectiveMs());
+  decoded.mBegan = aNow - std::chrono::milliseconds(aEncoded.getElapsedMs());
+  decoded.mWorth = aEncoded.getWorthCents() / kCentsPerUnit;
+  decoded.mTokens = aEncoded.getTokens();
+  decoded.mHolders = ReadNumbers(aEncoded.getHolders());
+  decoded.mHolderTokens = aEncoded.getHolderTokens();
+  decoded.mExpires = aNow + std::chrono::milliseconds(aEncoded.getLifeMs());
+  return decoded;
 }
 
 void
-WriteCrashes(wire::PeerNews::Builder aNews, const peer_updates& aTold)
+WriteCrashes(wire::PeerNews::Builder aEncoded, const peer_updates& aUpdates)
 {
-  if (!aTold.mCrashes.empty()) {
+  if (!aUpdates.mCrashes.empty()) {
     capnp::List<wire::CrashReport>::Builder crashes =
-      aNews.initCrashes(static_cast<unsigned>(aTold.mCrashes.size()));
-    for (unsigned i = 0; i < aTold.mCrashes.size(); ++i) {
-      crashes[i].setDigest(aTold.mCrashes[i].mRequest);
-      crashes[i].setEndpoint(aTold.mCrashes[i].mEndpoint);
-      crashes[i].setAnswering(aTold.mCrashes[i].mAnswering);
+      aEncoded.initCrashes(static_cast<unsigned>(aUpdates.mCrashes.size()));
+    for (unsigned i = 0; i < aUpdates.mCrashes.size(); ++i) {
+      crashes[i].setDigest(aUpdates.mCrashes[i].mRequest);
+      crashes[i].setEndpoint(aUpdates.mCrashes[i].mEndpoint);
+      crashes[i].setAnswering(aUpdates.mCrashes[i].mAnswering);
     }
   }
-  if (!aTold.mHeld.empty()) {
+  if (!aUpdates.mQuarantined.empty()) {
     capnp::List<wire::HeldRequest>::Builder held =
-      aNews.initHeld(static_cast<unsigned>(aTold.mHeld.size()));
-    for (unsigned i = 0; i < aTold.mHeld.size(); ++i) {
-      held[i].setDigest(aTold.mHeld[i].mRequest);
-      held[i].setTrials(aTold.mHeld[i].mTrials);
-      held[i].setAgeSeconds(Whole(Seconds(aTold.mHeld[i].mAge)));
+      aEncoded.initHeld(static_cast<unsigned>(aUpdates.mQuarantined.size()));
+    for (unsigned i = 0; i < aUpdates.mQuarantined.size(); ++i) {
+      held[i].setDigest(aUpdates.mQuarantined[i].mRequest);
+      held[i].setTrials(aUpdates.mQuarantined[i].mTrials);
+      held[i].setAgeSeconds(
+        RoundToUint32(Seconds(aUpdates.mQuarantined[i].mAge)));
     }
   }
-  if (!aTold.mCleared.empty()) {
+  if (!aUpdates.mCleared.empty()) {
     capnp::List<std::uint64_t>::Builder cleared =
-      aNews.initCleared(static_cast<unsigned>(aTold.mCleared.size()));
-    for (unsigned i = 0; i < aTold.mCleared.size(); ++i) {
-      cleared.set(i, aTold.mCleared[i]);
+      aEncoded.initCleared(static_cast<unsigned>(aUpdates.mCleared.size()));
+    for (unsigned i = 0; i < aUpdates.mCleared.size(); ++i) {
+      cleared.set(i, aUpdates.mCleared[i]);
     }
   }
 }
 
 void
-ReadCrashes(wire::PeerNews::Reader aNews, peer_updates& aTold)
+ReadCrashes(wire::PeerNews::Reader aEncoded, peer_updates& aUpdates)
 {
-  for (const wire::CrashReport::Reader crash : aNews.getCrashes()) {
-    aTold.mCrashes.push_back(
+  for (const wire::CrashReport::Reader crash : aEncoded.getCrashes()) {
+    aUpdates.mCrashes.push_back(
       { crash.getDigest(), crash.getEndpoint(), crash.getAnswering() });
   }
-  for (const wire::HeldRequest::Reader held : aNews.getHeld()) {
-    aTold.mHeld.push_back({ held.getDigest(),
-                            held.getTrials(),
-                            std::chrono::seconds(held.getAgeSeconds()) });
+  for (const wire::HeldRequest::Reader held : aEncoded.getHeld()) {
+    aUpdates.mQuarantined.push_back(
+      { held.getDigest(),
+        held.getTrials(),
+        std::chrono::seconds(held.getAgeSeconds()) });
   }
-  for (const std::uint64_t cleared : aNews.getCleared()) {
-    aTold.mCleared.push_back(cleared);
+  for (const std::uint64_t cleared : aEncoded.getCleared()) {
+    aUpdates.mCleared.push_back(cleared);
   }
 }
 
 void
-WriteLimits(wire::PeerNews::Builder aNews,
+WriteLimits(wire::PeerNews::Builder aEncoded,
             const std::vector<limit_report>& aLimits,
             time_point aNow)
 {
@@ -172,83 +177,90 @@
     return;
   }
   capnp::List<wire::EndpointLimit>::Builder limits =
-    aNews.initLimits(static_cast<unsigned>(aLimits.size()));
+    aEncoded.initLimits(static_cast<unsigned>(aLimits.size()));
   for (unsigned i = 0; i < aLimits.size(); ++i) {
     const std::optional<double>& rate = aLimits[i].mPerSecond;
     limits[i].setEndpoint(aLimits[i].mEndpoint);
     limits[i].setPerSecondMillis(
-      rate.has_value() ? std::max(1U, Whole(*rate * kMillisInOne)) : 0);
-    limits[i].setAgeMs(WholeMs(aNow - aLimits[i].mObserved));
+      rate.has_value() ? std::max(1U, RoundToUint32(*rate * kMillisPerUnit))
+                       : 0);
+    limits[i].setAgeMs(RoundToMilliseconds(aNow - aLimits[i].mObserved));
   }
 }
 
 void
-ReadLimits(wire::PeerNews::Reader aNews, peer_updates& aTold, time_point aNow)
+ReadLimits(wire::PeerNews::Reader aEncoded,
+           peer_updates& aUpdates,
+           time_point aNow)
 {
-  for (const wire::EndpointLimit::Reader limit : aNews.getLimits()) {
-    limit_report told;
-    told.mEndpoint = limit.getEndpoint();
+  for (const wire::EndpointLimit::Reader limit : aEncoded.getLimits()) {
+    limit_report decoded;
+    decoded.mEndpoint = limit.getEndpoint();
     if (limit.getPerSecondMillis() > 0) {
-      told.mPerSecond = limit.getPerSecondMillis() / kMillisInOne;
+      decoded.mPerSecond = limit.getPerSecondMillis() / kMillisPerUnit;
     }
-    told.mObserved = aNow - std::chrono::milliseconds(limit.getAgeMs());
-    aTold.mLimits.push_back(told);
+    decoded.mObserved = aNow - std::chrono::milliseconds(limit.getAgeMs());
+    aUpdates.mLimits.push_back(decoded);
   }
 }
 
 void
-WriteNews(wire::PeerNews::Builder aNews,
-          const peer_updates& aTold,
+WriteNews(wire::PeerNews::Builder aEncoded,
+          const peer_updates& aUpdates,
           time_point aNow)
 {
-  if (!aTold.mPlaced.empty()) {
-    capnp::List<wire::PlacedWork>::Builder placed =
-      aNews.initPlaced(static_cast<unsigned>(aTold.mPlaced.size()));
-    for (unsigned i = 0; i < aTold.mPlaced.size(); ++i) {
-      WriteWork(placed[i], aTold.mPlaced[i], aNow);
+  if (!aUpdates.mNewPlacements.empty()) {
+    capnp::List<wire::PlacedWork>::Builder placed = aEncoded.initPlaced(
+      static_cast<unsigned>(aUpdates.mNewPlacements.size()));
+    for (unsigned i = 0; i < aUpdates.mNewPlacements.size(); ++i) {
+      WritePlacement(placed[i], aUpdates.mNewPlacements[i], aNow);
     }
   }
-  if (!aTold.mEnded.empty()) {
-    WriteNumbers(aNews.initEnded(static_cast<unsigned>(aTold.mEnded.size())),
-                 Sequences(aTold.mEnded));
+  if (!aUpdates.mEndedPlacements.empty()) {
+    WriteNumbers(aEncoded.initEnded(
+                   static_cast<unsigned>(aUpdates.mEndedPlacements.size())),
+                 Sequences(aUpdates.mEndedPlacements));
   }
-  if (!aTold.mUnread.empty()) {
-    WriteNumbers(aNews.initUnread(static_cast<unsigned>(aTold.mUnread.size())),
-                 Sequences(aTold.mUnread));
+  if (!aUpdates.mEndedBeforePrefill.empty()) {
+    WriteNumbers(aEncoded.initUnread(
+                   static_cast<unsigned>(aUpdates.mEndedBeforePrefill.size())),
+                 Sequences(aUpdates.mEndedBeforePrefill));
   }
-  if (!aTold.mHelpRefused.empty()) {
-    WriteNumbers(
-      aNews.initUnwilling(static_cast<unsigned>(aTold.mHelpRefused.size())),
-      aTold.mHelpRefused);
+  if (!aUpdates.mHelpRefused.empty()) {
+    WriteNumbers(aEncoded.initUnwilling(
+                   static_cast<unsigned>(aUpdates.mHelpRefused.size())),
+                 aUpdates.mHelpRefused);
   }
-  if (!aTold.mTroubled.empty()) {
-    WriteNumbers(
-      aNews.initTroubled(static_cast<unsigned>(aTold.mTroubled.size())),
-      aTold.mTroubled);
+  if (!aUpdates.mFailedEndpoints.empty()) {
+    WriteNumbers(aEncoded.initTroubled(
+                   static_cast<unsigned>(aUpdates.mFailedEndpoints.size())),
+                 aUpdates.mFailedEndpoints);
   }
-  WriteLimits(aNews, aTold.mLimits, aNow);
-  WriteCrashes(aNews, aTold);
+  WriteLimits(aEncoded, aUpdates.mLimits, aNow);
+  WriteCrashes(aEncoded, aUpdates);
 }
 
 peer_message
-ReadMessage(wire::PeerNews::Reader aNews, time_point aNow)
+ReadMessage(wire::PeerNews::Reader aEncoded, time_point aNow)
 {
   peer_message message;
-  message.mBoot = aNews.getBoot();
-  message.mLeaving = aNews.getLeaving();
-  message.mManifest = aNews.getManifest();
-  message.mList = aNews.getList();
-  message.mQuarantineHash = aNews.getHeldState();
-  for (const wire::PlacedWork::Reader work : aNews.getPlaced()) {
-    message.mUpdates.mPlaced.push_back(ReadWork(work, message.mBoot, aNow));
+  message.mBoot = aEncoded.getBoot();
+  message.mLeaving = aEncoded.getLeaving();
+  message.mManifest = aEncoded.getManifest();
+  message.mList = aEncoded.getList();
+  message.mQuarantineHash = aEncoded.getHeldState();
+  for (const wire::PlacedWork::Reader work : aEncoded.getPlaced()) {
+    message.mUpdates.mNewPlacements.push_back(
+      ReadPlacement(work, message.mBoot, aNow));
   }
-  message.mUpdates.mEnded = Keys(message.mBoot, aNews.getEnded());
-  message.mUpdates.mUnread = Keys(message.mBoot, aNews.getUnread());
-  message.mUpdates.mHelpRefused = ReadNumbers(aNews.getUnwilling());
-  message.mUpdates.mTroubled = ReadNumbers(aNews.getTroubled());
-  ReadLimits(aNews, message.mUpdates, aNow);
-  ReadCrashes(aNews, message.mUpdates);
-  for (const capnp::Text::Reader host : aNews.getPeers()) {
+  message.mUpdates.mEndedPlacements = Keys(message.mBoot, aEncoded.getEnded());
+  message.mUpdates.mEndedBeforePrefill =
+    Keys(message.mBoot, aEncoded.getUnread());
+  message.mUpdates.mHelpRefused = ReadNumbers(aEncoded.getUnwilling());
+  message.mUpdates.mFailedEndpoints = ReadNumbers(aEncoded.getTroubled());
+  ReadLimits(aEncoded, message.mUpdates, aNow);
+  ReadCrashes(aEncoded, message.mUpdates);
+  for (const capnp::Text::Reader host : aEncoded.getPeers()) {
     message.mHosts.emplace_back(host.cStr());
   }
   return message;
@@ -260,16 +272,16 @@
 EncodePeerMessage(const peer_message& aMessage, time_point aNow)
 {
   capnp::MallocMessageBuilder builder;
-  wire::PeerNews::Builder news = builder.initRoot<wire::PeerNews>();
-  news.setBoot(aMessage.mBoot);
-  news.setLeaving(aMessage.mLeaving);
-  news.setManifest(aMessage.mManifest);
-  news.setList(aMessage.mList);
-  news.setHeldState(aMessage.mQuarantineHash);
-  WriteNews(news, aMessage.mUpdates, aNow);
+  wire::PeerNews::Builder encoded = builder.initRoot<wire::PeerNews>();
+  encoded.setBoot(aMessage.mBoot);
+  encoded.setLeaving(aMessage.mLeaving);
+  encoded.setManifest(aMessage.mManifest);
+  encoded.setList(aMessage.mList);
+  encoded.setHeldState(aMessage.mQuarantineHash);
+  WriteNews(encoded, aMessage.mUpdates, aNow);
   if (!aMessage.mHosts.empty()) {
     capnp::List<capnp::Text>::Builder hosts =
-      news.initPeers(static_cast<unsigned>(aMessage.mHosts.size()));
+      encoded.initPeers(static_cast<unsigned>(aMessage.mHosts.size()));
     for (unsigned i = 0; i < aMessage.mHosts.size(); ++i) {
       hosts.set(i, aMessage.mHosts[i].c_str());
     }
@@ -283,12 +295,12 @@
 result<peer_message>
 DecodePeerMessage(std::string_view aBytes, time_point aNow)
 {
-  // The library answers a message that is none with an exception.
+  // Cap'n Proto reports malformed messages by exceptions.
   try {
     kj::ArrayInputStream stream(
       kj::arrayPtr(aBytes.data(), aBytes.size()).asBytes());
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = kMostWords;
+    options.traversalLimitInWords = kMaxMessageWords;
     capnp::PackedMessageReader reader(stream, options);
     return ReadMessage(reader.getRoot<wire::PeerNews>(), aNow);
   } catch (const kj::Exception& aError) {
--- a/Libraries/LibGateway/PeerMessage.h
+++ b/Libraries/LibGateway/PeerMessage.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The datagrams of entries as bytes: Cap'n Proto, packed.
+/// Encoding of the gossip datagrams between gateways: packed Cap'n Proto.
 
 #include "LibFleet/LibFleet.h"
 
@@ -10,27 +10,28 @@
 
 namespace primrose {
 
-/// The limit in an endpoint's answer.
+/// A request rate limit that an endpoint stated in an answer.
 struct limit_report
 {
   engine_key mEndpoint = 0;
-  std::optional<double> mPerSecond; ///< Nullopt: unlimited.
+  std::optional<double> mPerSecond; ///< Nullopt: no limit.
   time_point mObserved{};
 
   bool operator==(const limit_report&) const = default;
 };
 
-/// What is told at once. A beat is one with nothing in it.
+/// The updates in one datagram. A heartbeat has none.
 struct peer_updates
 {
-  std::vector<placement> mPlaced; ///< All of the entry that tells.
-  std::vector<placement_key> mEnded;
-  std::vector<placement_key> mUnread;   ///< Ended before they were read.
-  std::vector<engine_key> mHelpRefused; ///< Engines that refuse to help.
-  std::vector<engine_key> mTroubled;    ///< Endpoints that gave a bad sign.
+  std::vector<placement> mNewPlacements; ///< All owned by the sender.
+  std::vector<placement_key> mEndedPlacements;
+  std::vector<placement_key>
+    mEndedBeforePrefill;                ///< Ended before their prefill.
+  std::vector<engine_key> mHelpRefused; ///< Engines that refuse prefill help.
+  std::vector<engine_key> mFailedEndpoints; ///< Endpoints that failed.
   std::vector<limit_report> mLimits;
   std::vector<crash_report> mCrashes;
-  std::vector<held_request> mHeld;
+  std::vector<held_request> mQuarantined;
   std::vector<request_digest> mCleared; ///< Requests that were answered.
 
   bool operator==(const peer_updates&) const = default;
@@ -38,22 +39,22 @@
 
 struct peer_message
 {
-  std::uint64_t mBoot = 0; ///< The start of the entry that tells.
+  std::uint64_t mBoot = 0; ///< The sender's incarnation number.
   bool mLeaving = false;
-  std::uint64_t mManifest = 0; ///< The version in force there.
-  std::uint64_t mList = 0;     ///< Newest revision of its list of endpoints.
-  std::uint64_t mQuarantineHash = 0; ///< Of what it holds; 0: it does not say.
+  std::uint64_t mManifest = 0;       ///< Version that the sender has applied.
+  std::uint64_t mList = 0;           ///< Newest revision of its endpoint list.
+  std::uint64_t mQuarantineHash = 0; ///< Of its quarantine; 0: not stated.
   peer_updates mUpdates;
-  std::vector<std::string> mHosts; ///< Of entries that it knows.
+  std::vector<std::string> mHosts; ///< Of gateways known to the sender.
 
   bool operator==(const peer_message&) const = default;
 };
 
-/// Times are told as what is left at `aNow`.
+/// Points in time are encoded as durations relative to `aNow`.
 std::string
 EncodePeerMessage(const peer_message& aMessage, time_point aNow);
 
-/// Fails on bytes that are no such message.
+/// Fails if the bytes are no such message.
 result<peer_message>
 DecodePeerMessage(std::string_view aBytes, time_point aNow);
 
--- a/Libraries/LibGateway/PeerSnapshot.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr unsigned kGood = 200;
-/// A peer answers within milliseconds; one that does not is in trouble itself.
+constexpr unsigned kStatusOk = 200;
+/// A healthy peer answers within milliseconds.
 constexpr duration kFetchTimeout = std::chrono::milliseconds(400);
-/// A manifest of some thousand routes with two thousand endpoints, in words of
-/// eight bytes.
-constexpr std::size_t kMostWords = std::size_t{ 4 } * 1024 * 1024;
+/// Large enough for a manifest of some thousand routes and two thousand
+/// endpoints, in words of eight bytes.
+constexpr std::size_t kMaxSnapshotWords = std::size_t{ 4 } * 1024 * 1024;
 
 void
 WriteRow(wire::BelievedRow::Builder aRow,
@@ -52,12 +52,12 @@
 EncodeSnapshot(const table_snapshot& aRows)
 {
   capnp::MallocMessageBuilder message;
-  wire::PeerBeliefs::Builder beliefs = message.initRoot<wire::PeerBeliefs>();
+  wire::PeerBeliefs::Builder encoded = message.initRoot<wire::PeerBeliefs>();
   if (aRows.mManifest.has_value()) {
-    WriteRow(beliefs.initManifest(), *aRows.mManifest);
+    WriteRow(encoded.initManifest(), *aRows.mManifest);
   }
   capnp::List<wire::BelievedRow>::Builder rows =
-    beliefs.initEndpoints(static_cast<unsigned>(aRows.mEndpoints.size()));
+    encoded.initEndpoints(static_cast<unsigned>(aRows.mEndpoints.size()));
   for (unsigned i = 0; i < aRows.mEndpoints.size(); ++i) {
     WriteRow(rows[i], aRows.mEndpoints[i]);
   }
@@ -71,24 +71,24 @@
 {
   const std::size_t size = aBytes.size() / sizeof(capnp::word);
   if (aBytes.empty() || aBytes.size() % sizeof(capnp::word) != 0 ||
-      size > kMostWords) {
+      size > kMaxSnapshotWords) {
     return Fail(error_kind::BadValue, "not a peer's beliefs");
   }
   std::vector<capnp::word> words(size);
   std::memcpy(words.data(), aBytes.data(), aBytes.size());
-  // The library answers a message that is none with an exception.
+  // Cap'n Proto reports malformed messages by exceptions.
   try {
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = kMostWords;
+    options.traversalLimitInWords = kMaxSnapshotWords;
     capnp::FlatArrayMessageReader reader(kj::arrayPtr(words.data(), size),
                                          options);
-    const wire::PeerBeliefs::Reader beliefs =
+    const wire::PeerBeliefs::Reader encoded =
       reader.getRoot<wire::PeerBeliefs>();
     table_snapshot rows;
-    if (beliefs.hasManifest()) {
-      rows.mManifest = ReadRow(beliefs.getManifest());
+    if (encoded.hasManifest()) {
+      rows.mManifest = ReadRow(encoded.getManifest());
     }
-    for (const wire::BelievedRow::Reader row : beliefs.getEndpoints()) {
+    for (const wire::BelievedRow::Reader row : encoded.getEndpoints()) {
       rows.mEndpoints.push_back(ReadRow(row));
     }
     return rows;
@@ -105,38 +105,41 @@
 }
 
 result<void>
-snapshot_exchange::Open(held aHeld)
+snapshot_exchange::Open(snapshot_source aSource)
 {
   BOOST_LEAF_ASSIGN(
     mListener,
     tcp_listener::Open(
-      mLoop, mSettings.mPeers, [this, held = std::move(aHeld)](int aSocket) {
-        http_responder::Serve(mLoop, aSocket, [held]() {
-          return http_responder::answer{ kGood, EncodeSnapshot(held()) };
+      mLoop,
+      mSettings.mPeers,
+      [this, source = std::move(aSource)](int aSocket) {
+        http_responder::Serve(mLoop, aSocket, [source]() {
+          return http_responder::answer{ kStatusOk, EncodeSnapshot(source()) };
         });
       }));
   return {};
 }
 
 void
-snapshot_exchange::Ask(const std::string& aHost, received aReceived)
+snapshot_exchange::Ask(const std::string& aHost, fetch_callback aCallback)
 {
   if (mFetching) {
     return;
   }
   mFetching = true;
-  // The question before this one may be what asks, from within its own answer.
+  // This may be called from the previous call's callback, so the caller object
+  // must outlive it.
   mLoop.DeleteLater(std::move(mCaller));
   mCaller = std::make_shared<http_caller>(
     mLoop, ip_address{ aHost, mSettings.mPeers.mPort });
   mCaller->Call(
     { "GET", "/beliefs", "", "", {} },
     kFetchTimeout,
-    [this, aHost, then = std::move(aReceived)](const http_answer& aAnswer) {
+    [this, aHost, callback = std::move(aCallback)](const http_answer& aAnswer) {
       mFetching = false;
       const outcome<table_snapshot> rows =
         Capture<table_snapshot>([&aAnswer]() -> result<table_snapshot> {
-          if (aAnswer.mStatus != kGood) {
+          if (aAnswer.mStatus != kStatusOk) {
             return Fail(error_kind::StoreUnavailable, "no answer");
           }
           return DecodeSnapshot(aAnswer.mBody);
@@ -146,7 +149,7 @@
           { { "host", aHost },
             { "outcome", rows ? "good" : rows.mFailure.mMessage },
             { "endpoints", rows ? rows.mValue->mEndpoints.size() : 0 } });
-      then(rows.mValue);
+      callback(rows.mValue);
     });
 }
 
--- a/Libraries/LibGateway/PeerSnapshot.h
+++ b/Libraries/LibGateway/PeerSnapshot.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// What entries pass on to an entry that cannot reach the platform: the rows
-/// that they have read there. The revisions go with them, so that nothing that
-/// comes this way replaces anything newer.
+/// Lets a gateway that cannot reach the platform's store fetch the table rows
+/// from a peer, as the peer has read them. Rows carry their revisions, so that
+/// a row from a peer never replaces a newer one.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -21,21 +21,22 @@
 result<table_snapshot>
 DecodeSnapshot(const std::string& aBytes);
 
-/// Serves this entry's rows to its peers and asks a peer for its own.
+/// Serves this gateway's snapshot to peers and fetches a snapshot from a peer.
 class snapshot_exchange
 {
 public:
-  using held = std::function<table_snapshot()>;
-  /// Nothing if the peer gave no answer that can be read.
-  using received = std::function<void(const std::optional<table_snapshot>&)>;
+  using snapshot_source = std::function<table_snapshot()>;
+  /// Called with no value if the peer gave no valid answer.
+  using fetch_callback =
+    std::function<void(const std::optional<table_snapshot>&)>;
 
   snapshot_exchange(event_loop& aLoop, const gateway_settings& aSettings);
   snapshot_exchange(const snapshot_exchange&) = delete;
   snapshot_exchange& operator=(const snapshot_exchange&) = delete;
 
-  result<void> Open(held aHeld);
-  /// Asks one peer; does nothing while a question is open.
-  void Ask(const std::string& aHost, received aReceived);
+  result<void> Open(snapshot_source aSource);
+  /// Fetches the snapshot of one peer; does nothing while a fetch is running.
+  void Ask(const std::string& aHost, fetch_callback aCallback);
 
 private:
   event_loop& mLoop;
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// A call takes the store 4 ms, and up to 250 when it is slow.
+/// A store call takes 4 ms, and up to 250 ms if the store is slow.
 constexpr duration kTimeout = std::chrono::milliseconds(900);
-/// A request waits for this one: then it is refused, as it would be without.
+/// A request waits for the answer to a claim. After this time it is refused, as
+/// it would be without the trial.
 constexpr duration kClaimTimeout = std::chrono::milliseconds(400);
 
-constexpr std::size_t kDigits = 16;
-constexpr int kHex = 16;
+constexpr std::size_t kDigestDigits = 16;
+constexpr int kHexBase = 16;
 
 } // namespace
 
@@ -37,8 +38,8 @@
   held_request held;
   const char* const end = aKey.data() + aKey.size();
   const std::from_chars_result digits =
-    std::from_chars(aKey.data(), end, held.mRequest, kHex);
-  if (digits.ec != std::errc{} || digits.ptr != aKey.data() + kDigits) {
+    std::from_chars(aKey.data(), end, held.mRequest, kHexBase);
+  if (digits.ec != std::errc{} || digits.ptr != aKey.data() + kDigestDigits) {
     return std::nullopt;
   }
   if (digits.ptr == end) {
@@ -64,9 +65,9 @@
 }
 
 void
-quarantine_table::Learn(learnt aLearnt)
+quarantine_table::LoadRows(loaded_callback aOnLoaded)
 {
-  mOnLoaded = std::move(aLearnt);
+  mOnLoaded = std::move(aOnLoaded);
   LoadRowsFrom("");
 }
 
@@ -84,12 +85,12 @@
                    return;
                  }
                  for (const row_change<std::string>& row : reading.mRows) {
-                   const std::optional<held_request> said =
+                   const std::optional<held_request> parsed =
                      ParseQuarantineRowKey(row.mKey);
-                   if (said.has_value()) {
-                     held_request& held = mRead[said->mRequest];
-                     held.mRequest = said->mRequest;
-                     held.mTrials = std::max(held.mTrials, said->mTrials);
+                   if (parsed.has_value()) {
+                     held_request& held = mLoaded[parsed->mRequest];
+                     held.mRequest = parsed->mRequest;
+                     held.mTrials = std::max(held.mTrials, parsed->mTrials);
                    }
                  }
                  if (HasMoreRows(reading)) {
@@ -97,7 +98,8 @@
                    return;
                  }
                  std::vector<held_request> all;
-                 for (const auto& [request, held] : std::exchange(mRead, {})) {
+                 for (const auto& [request, held] :
+                      std::exchange(mLoaded, {})) {
                    all.push_back(held);
                  }
                  mOnLoaded(all);
@@ -124,15 +126,15 @@
 void
 quarantine_table::ClaimTrial(request_digest aRequest,
                              unsigned aTrial,
-                             claimed aClaimed)
+                             claim_callback aCallback)
 {
-  mCaller.Call(mAdapter.mInsertRow(mAdapter.mQuarantineTable,
-                                   TrialRowKey(aRequest, aTrial),
-                                   "taken"),
-               kClaimTimeout,
-               [this, then = std::move(aClaimed)](const http_answer& aAnswer) {
-                 then(mAdapter.mReadWrite(aAnswer));
-               });
+  mCaller.Call(
+    mAdapter.mInsertRow(
+      mAdapter.mQuarantineTable, TrialRowKey(aRequest, aTrial), "taken"),
+    kClaimTimeout,
+    [this, callback = std::move(aCallback)](const http_answer& aAnswer) {
+      callback(mAdapter.mReadWrite(aAnswer));
+    });
 }
 
 void
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -1,11 +1,13 @@
 #pragma once
 
-/// The platform's table of requests that are held: what entries that all end at
-/// once would otherwise forget, and where one trial is given to one entry.
+/// Access to the store's table of quarantined requests. It preserves the
+/// quarantine if all gateways end at once, and grants each trial to only one
+/// gateway.
 ///
-/// A held request has a row of its digest, and each trial that was taken one
-/// more. Rows are only ever added, or all of a request's removed together, so
-/// that nothing depends on the order of writes whose answers were lost.
+/// A quarantined request has a row with its digest as key, and one more row for
+/// each claim_callback trial. Rows are only added, or all rows of a request are
+/// removed together, so the result does not depend on the order of writes whose
+/// answers were lost.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -14,8 +16,9 @@
 class quarantine_table
 {
 public:
-  using learnt = std::function<void(const std::vector<held_request>& aHeld)>;
-  using claimed = std::function<void(write_outcome aOutcome)>;
+  using loaded_callback =
+    std::function<void(const std::vector<held_request>& aQuarantined)>;
+  using claim_callback = std::function<void(write_outcome aOutcome)>;
 
   quarantine_table(event_loop& aLoop,
                    const gateway_settings& aSettings,
@@ -24,44 +27,47 @@
   quarantine_table(const quarantine_table&) = delete;
   quarantine_table& operator=(const quarantine_table&) = delete;
 
-  /// Reads the table once, again and again until that is done.
-  void Learn(learnt aLearnt);
-  /// Leaves a row of the request, for as long as it is held here.
+  /// Reads the table once; retries until that succeeds.
+  void LoadRows(loaded_callback aOnLoaded);
+  /// Adds a row for the request; retries while it is quarantined here.
   void Add(request_digest aRequest);
-  /// Asks for the right to make this trial; only one entry ever gets it.
-  void ClaimTrial(request_digest aRequest, unsigned aTrial, claimed aClaimed);
-  /// Removes all rows of a request that is held no more.
+  /// Claims this trial; only one gateway ever succeeds.
+  void ClaimTrial(request_digest aRequest,
+                  unsigned aTrial,
+                  claim_callback aCallback);
+  /// Removes all rows of a request that is no longer quarantined.
   void Remove(request_digest aRequest);
-  /// Tries again what the store did not do; called several times a second.
+  /// Retries failed operations when due; called several times a second.
   void Tick();
-  /// The store answers again.
+  /// Retries at once, since the store answers again.
   void RetryNow();
 
 private:
   void LoadRowsFrom(const std::string& aKey);
-  void RetryLater() { mRetryAt = mLoop.Now() + kPause; }
-  /// Between two tries: 350 entries together make 500 of the store's 2,000
-  /// calls a second while it turns all of them away.
-  static constexpr duration kPause = std::chrono::milliseconds(700);
+  void RetryLater() { mRetryAt = mLoop.Now() + kRetryDelay; }
+  /// Delay before a retry. With it, 350 gateways make 500 of the store's 2,000
+  /// calls a second while the store refuses all of them.
+  static constexpr duration kRetryDelay = std::chrono::milliseconds(700);
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
-  learnt mOnLoaded;
-  std::map<request_digest, held_request> mRead;
-  std::optional<std::string>
-    mNextKeyToLoad; ///< From this key on, at `mRetryAt`.
+  loaded_callback mOnLoaded;
+  std::map<request_digest, held_request> mLoaded;
+  std::optional<std::string> mNextKeyToLoad; ///< Read from here at `mRetryAt`.
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
   time_point mRetryAt{};
   http_caller mCaller;
 };
 
-/// A row's key, and what it says; nothing if the key is none of this table.
+/// Key of the row of a quarantined request.
 std::string
 QuarantineRowKey(request_digest aRequest);
+/// Key of the row of a claim_callback trial.
 std::string
 TrialRowKey(request_digest aRequest, unsigned aTrial);
+/// Parses either kind of key; no value if it is neither.
 std::optional<held_request>
 ParseQuarantineRowKey(std::string_view aKey);
 
--- a/Libraries/LibGateway/ReachabilityCheck.cpp
+++ b/Libraries/LibGateway/ReachabilityCheck.cpp
@@ -5,15 +5,15 @@
 reachability_check::reachability_check(event_loop& aLoop,
                                        endpoint_connections& aConnections,
                                        const ip_address& aAddress,
-                                       found aFound)
+                                       result_callback aOnResult)
   : mLoop(aLoop)
   , mChannel(aConnections.Connect(aAddress))
-  , mOnResult(std::move(aFound))
+  , mOnResult(std::move(aOnResult))
 {
   mChannel->SetOwner(this);
   mTimer = mLoop.After(kConnectTimeout, [this]() {
     mTimer = 0;
-    Settle(reachability::Silent);
+    Finish(reachability::Silent);
   });
 }
 
@@ -29,23 +29,23 @@
 void
 reachability_check::OnConnected(tcp_channel&)
 {
-  Settle(reachability::Reached);
+  Finish(reachability::Reached);
 }
 
 void
 reachability_check::OnEnd(tcp_channel&, channel_end)
 {
-  Settle(reachability::Refused);
+  Finish(reachability::Refused);
 }
 
 void
-reachability_check::Settle(reachability aResult)
+reachability_check::Finish(reachability aResult)
 {
   mLoop.Cancel(mTimer);
   mChannel->Close();
   mLoop.DeleteLater(std::move(mChannel));
   mChannel = nullptr;
-  const found notify = std::exchange(mOnResult, {});
+  const result_callback notify = std::exchange(mOnResult, {});
   if (notify) {
     notify(aResult);
   }
--- a/Libraries/LibGateway/ReachabilityCheck.h
+++ b/Libraries/LibGateway/ReachabilityCheck.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Finds out whether an endpoint still takes connections, without asking it
-/// for anything.
+/// Checks whether an endpoint still accepts connections, without sending it a
+/// request.
 
 #include "LibGateway/EndpointConnections.h"
 
@@ -10,21 +10,21 @@
 enum class reachability : std::uint8_t
 {
   Reached,
-  Refused, ///< Its machine answered, and no process has the port.
+  Refused, ///< The host answered, but no process listens there.
   Silent,  ///< Nothing answered in time.
 };
 
 class reachability_check final : public channel_owner
 {
 public:
-  using found = std::function<void(reachability)>;
+  using result_callback = std::function<void(reachability)>;
 
-  /// Connects to the address and closes at once; `aFound` is called exactly
+  /// Connects to the address and closes at once; `aOnResult` is called exactly
   /// once, unless the check is destroyed before, and may destroy it.
   reachability_check(event_loop& aLoop,
                      endpoint_connections& aConnections,
                      const ip_address& aAddress,
-                     found aFound);
+                     result_callback aOnResult);
   ~reachability_check() override;
   reachability_check(const reachability_check&) = delete;
   reachability_check& operator=(const reachability_check&) = delete;
@@ -34,11 +34,11 @@
   void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
 
 private:
-  void Settle(reachability aResult);
+  void Finish(reachability aResult);
 
   event_loop& mLoop;
   std::shared_ptr<tcp_channel> mChannel;
-  found mOnResult;
+  result_callback mOnResult;
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -5,13 +5,13 @@
 staleness_detector::staleness_detector(event_loop& aLoop,
                                        gateway_board& aBoard,
                                        std::string aName,
-                                       held aHeld,
-                                       behind aBehind)
+                                       local_version aLocalVersion,
+                                       stale_callback aOnStale)
   : mLoop(aLoop)
   , mBoard(aBoard)
   , mName(std::move(aName))
-  , mHeld(std::move(aHeld))
-  , mBehind(std::move(aBehind))
+  , mLocalVersion(std::move(aLocalVersion))
+  , mOnStale(std::move(aOnStale))
 {
 }
 
@@ -21,46 +21,47 @@
 }
 
 bool
-staleness_detector::Behind() const
+staleness_detector::IsStale() const
 {
-  const std::optional<std::uint64_t> own = mHeld();
-  return own.has_value() && *own < mNewest;
+  const std::optional<std::uint64_t> version = mLocalVersion();
+  return version.has_value() && *version < mNewestPeerVersion;
 }
 
 void
-staleness_detector::Told(std::uint64_t aNewest)
+staleness_detector::SetNewestPeerVersion(std::uint64_t aVersion)
 {
-  mNewest = aNewest;
-  if (!Behind()) {
+  mNewestPeerVersion = aVersion;
+  if (!IsStale()) {
     RecordCaughtUp();
     return;
   }
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
   since = since.value_or(mLoop.Now());
   if (mTimer == 0) {
-    Wait();
+    ScheduleCheck();
   }
 }
 
 void
-staleness_detector::Wait()
+staleness_detector::ScheduleCheck()
 {
-  const std::uint64_t own = mHeld().value_or(0);
+  const std::uint64_t version = mLocalVersion().value_or(0);
   mChecksWithoutProgress =
-    own == mVersionAtLastCheck ? mChecksWithoutProgress : 0;
-  mVersionAtLastCheck = own;
-  // What a peer has just been told is on its way here too; only what does not
-  // come shows that this entry's own question has gone silent.
-  const duration patience = BehindPatience(mChecksWithoutProgress);
-  mTimer = mLoop.After(patience, [this, patience]() {
+    version == mVersionAtLastCheck ? mChecksWithoutProgress : 0;
+  mVersionAtLastCheck = version;
+  // A change that a peer has just received from the store usually arrives here
+  // as well. Only if it does not arrive in time, this gateway's version request
+  // to the store has probably been lost.
+  const duration wait = BehindPatience(mChecksWithoutProgress);
+  mTimer = mLoop.After(wait, [this, wait]() {
     mTimer = 0;
-    if (!Behind()) {
+    if (!IsStale()) {
       RecordCaughtUp();
       return;
     }
     ++mChecksWithoutProgress;
-    mBehind(patience);
-    Wait();
+    mOnStale(wait);
+    ScheduleCheck();
   });
 }
 
@@ -68,12 +69,12 @@
 staleness_detector::RecordCaughtUp()
 {
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
-  // What a peer was told a moment earlier is not worth a line.
+  // A peer receiving a change slightly earlier is normal and not logged.
   if (since.has_value() && mLoop.Now() - *since > BehindPatience(0)) {
     Log(log_level::Warning,
         "belief_was_behind",
         { { "belief", mName },
-          { "held", mHeld().value_or(0) },
+          { "held", mLocalVersion().value_or(0) },
           { "behind_ms", Milliseconds(mLoop.Now() - *since) } });
   }
   since.reset();
--- a/Libraries/LibGateway/StalenessDetector.h
+++ b/Libraries/LibGateway/StalenessDetector.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Watches whether peers know more of one belief than this entry. An entry
-/// whose path to the store went silent gets no error; what its peers tell is
-/// what shows that it is behind.
+/// Detects that this gateway's copy of a store table is older than the copies
+/// of its peers. A gateway that loses its network path to the store sees no
+/// error; the versions that peers report by gossip show that its copy is stale.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -11,37 +11,37 @@
 class staleness_detector
 {
 public:
-  /// How new this entry's belief is; nothing while it has none at all, which is
-  /// noticed without peers.
-  using held = std::function<std::optional<std::uint64_t>()>;
-  /// Called while peers know more, each time the patience is over.
-  using behind = std::function<void(duration aPatience)>;
+  /// Returns the version of the local copy; no value while there is no copy,
+  /// since that is handled without peers.
+  using local_version = std::function<std::optional<std::uint64_t>()>;
+  /// Called each time the copy is found to be still stale after a waiting time.
+  using stale_callback = std::function<void(duration aWaited)>;
 
-  /// `aName` stands in logs and metrics.
+  /// `aName` is used in logs and metrics.
   staleness_detector(event_loop& aLoop,
                      gateway_board& aBoard,
                      std::string aName,
-                     held aHeld,
-                     behind aBehind);
+                     local_version aLocalVersion,
+                     stale_callback aOnStale);
   ~staleness_detector();
   staleness_detector(const staleness_detector&) = delete;
   staleness_detector& operator=(const staleness_detector&) = delete;
 
-  /// The newest that the peers have told of that are there.
-  void Told(std::uint64_t aNewest);
+  /// Sets the newest version that any current peer has reported.
+  void SetNewestPeerVersion(std::uint64_t aVersion);
 
 private:
-  bool Behind() const;
-  void Wait();
+  bool IsStale() const;
+  void ScheduleCheck();
   void RecordCaughtUp();
 
   event_loop& mLoop;
   gateway_board& mBoard;
   std::string mName;
-  held mHeld;
-  behind mBehind;
-  std::uint64_t mNewest = 0;
-  std::uint64_t mVersionAtLastCheck = 0; ///< When the patience was last begun.
+  local_version mLocalVersion;
+  stale_callback mOnStale;
+  std::uint64_t mNewestPeerVersion = 0;
+  std::uint64_t mVersionAtLastCheck = 0; ///< When the timer was last set.
   unsigned mChecksWithoutProgress = 0;
   timer_id mTimer = 0;
 };
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -10,26 +10,28 @@
 namespace {
 
 constexpr duration kLongPollSlack = std::chrono::milliseconds(500);
-/// A whole reading takes some milliseconds; a slow platform up to 250.
+/// A full read takes some milliseconds, and up to 250 ms if the store is slow.
 constexpr duration kReadTimeout = std::chrono::milliseconds(900);
-/// Answers over these are logged: a few versions of a manifest of some hundred
-/// routes, or a tenth of the seconds within which a change is to be in force.
+/// Answers over these limits are logged: the size of a few versions of a
+/// manifest with some hundred routes, and a tenth of the time within which a
+/// change must take effect.
 constexpr std::size_t kLargeAnswer = std::size_t{ 256 } * 1024;
 constexpr duration kSlowAnswer = std::chrono::milliseconds(200);
-/// So many bytes of versions that are replaced within the same answer show that
-/// changes come faster than they are read here, as on a narrow link or after a
-/// pause of the machine. 256 KB take a seventh of a second at 20 Mbit/s.
+/// If an answer has more bytes than this of superseded row versions, changes
+/// arrive faster than they are read, as on a slow link or after a pause of the
+/// machine. 256 KB take a seventh of a second at 20 Mbit/s.
 constexpr std::size_t kMaxSupersededBytes = std::size_t{ 256 } * 1024;
 
-/// Bytes of rows of which the same answer has a later version.
+/// Bytes of row versions that a newerKeys version in the same answer
+/// supersedes.
 std::size_t
 SupersededBytes(const table_reading& aReading)
 {
-  std::set<std::string_view> later;
+  std::set<std::string_view> newerKeys;
   std::size_t bytes = 0;
   for (auto row = aReading.mRows.rbegin(); row != aReading.mRows.rend();
        ++row) {
-    if (!later.insert(row->mKey).second && row->mValue.has_value()) {
+    if (!newerKeys.insert(row->mKey).second && row->mValue.has_value()) {
       bytes += row->mValue->size();
     }
   }
@@ -55,13 +57,13 @@
                                gateway_board& aBoard,
                                const ip_address& aStore,
                                std::string aTable,
-                               duration aGather,
+                               duration aBatchDelay,
                                listener aListener)
   : mLoop(aLoop)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
   , mTable(std::move(aTable))
-  , mChangeBatchDelay(aGather)
+  , mChangeBatchDelay(aBatchDelay)
   , mListener(std::move(aListener))
   , mCaller(aLoop, aStore)
 {
@@ -79,15 +81,16 @@
 }
 
 void
-table_follower::Refresh(duration aPatience)
+table_follower::Refresh(duration aTimeout)
 {
-  // What peers know already is asked for when the changes have gathered.
+  // The delayed poll will return the changes that peers already have.
   if (mChangeBatchPending) {
     return;
   }
-  // A question that was just asked, or whose answer is coming, is not silent.
+  // A recent call, or one whose answer is arriving, is not considered
+  // historyLost.
   if (mCaller.Busy() &&
-      (mCaller.Received() > 0 || mCaller.Asking() < aPatience)) {
+      (mCaller.Received() > 0 || mCaller.Asking() < aTimeout)) {
     Log(log_level::Info,
         "store_answer_awaited",
         { { "table", mTable },
@@ -105,17 +108,18 @@
   if (mCaller.Busy()) {
     mBoard.mMetrics.Count(
       Labelled("gateway_store_given_up_total", "table", mTable));
-    // A silent path gives no error: unless the question counts as unanswered,
-    // the store never counts as lost here, and no peer is asked.
+    // A network path that drops packets gives no error. The abandoned call has
+    // to count as a failure, or else the store would never count as historyLost
+    // here and no snapshot would be fetched from a peer.
     RecordFailure(table_reading{});
   }
   mCaller.Abandon();
   mLoop.Cancel(mTimer);
-  Ask();
+  Resume();
 }
 
 void
-table_follower::Ask()
+table_follower::Resume()
 {
   if (mRevision.has_value() && !mMayHaveMissedChanges) {
     ReadChanges();
@@ -128,16 +132,16 @@
 table_follower::ReadTableFrom(const std::string& aFromKey)
 {
   if (aFromKey.empty()) {
-    mGathered = table_reading{};
+    mAccumulated = table_reading{};
   }
   mCaller.Call(
     mAdapter.mReadTable(mTable, aFromKey),
     kReadTimeout,
-    [this](const http_answer& aAnswer) { OnTablePage(Decode(aAnswer)); });
+    [this](const http_answer& aAnswer) { OnTablePage(DecodeAnswer(aAnswer)); });
 }
 
 table_reading
-table_follower::Decode(const http_answer& aAnswer)
+table_follower::DecodeAnswer(const http_answer& aAnswer)
 {
   table_reading reading = mAdapter.mDecodeTable(aAnswer);
   mBoard.mMetrics.Count(
@@ -164,21 +168,23 @@
     return;
   }
   RecordSuccess();
-  const bool first = mGathered.mRows.empty();
-  // A table in several answers is as old as the first of them.
-  mGathered.mRevision = first ? aReading.mRevision : mGathered.mRevision;
-  mGathered.mRows.insert(
-    mGathered.mRows.end(), aReading.mRows.begin(), aReading.mRows.end());
+  const bool isFirstPage = mAccumulated.mRows.empty();
+  // A table read in several pages is only as new as its first page.
+  mAccumulated.mRevision =
+    isFirstPage ? aReading.mRevision : mAccumulated.mRevision;
+  mAccumulated.mRows.insert(
+    mAccumulated.mRows.end(), aReading.mRows.begin(), aReading.mRows.end());
   if (HasMoreRows(aReading)) {
     ReadTableFrom(NextPageKey(aReading));
     return;
   }
-  // A reading may be behind what was known; what came before stays known.
-  mRevision = std::max(mRevision.value_or(0), mGathered.mRevision);
+  // A full read may be older than changes received before; the revision never
+  // goes back.
+  mRevision = std::max(mRevision.value_or(0), mAccumulated.mRevision);
   mMayHaveMissedChanges = false;
   mJitterNextPoll = true;
-  mListener.mWhole(mGathered);
-  mGathered = table_reading{};
+  mListener.mOnTable(mAccumulated);
+  mAccumulated = table_reading{};
   ReadChanges();
 }
 
@@ -192,7 +198,7 @@
   mCaller.Call(
     mAdapter.mReadChanges(mTable, *mRevision, wait),
     wait + kLongPollSlack,
-    [this](const http_answer& aAnswer) { OnChanges(Decode(aAnswer)); });
+    [this](const http_answer& aAnswer) { OnChanges(DecodeAnswer(aAnswer)); });
 }
 
 void
@@ -210,10 +216,10 @@
     return;
   }
   mJitterNextPoll = true;
-  mListener.mChanges(aReading);
+  mListener.mOnChanges(aReading);
   mMayHaveMissedChanges = SupersededBytes(aReading) > kMaxSupersededBytes;
   if (mMayHaveMissedChanges) {
-    Ask();
+    Resume();
     return;
   }
   mChangeBatchPending = true;
@@ -228,29 +234,30 @@
 table_follower::RecordSuccess()
 {
   if (!mReached) {
-    Log(log_level::Info,
-        "store_reached",
-        { { "table", mTable },
-          { "away_ms",
-            mTroubled ? Milliseconds(mLoop.Now() - mFailingSince) : 0 },
-          { "failures", mFailures } });
+    Log(
+      log_level::Info,
+      "store_reached",
+      { { "table", mTable },
+        { "away_ms", mFailing ? Milliseconds(mLoop.Now() - mFailingSince) : 0 },
+        { "failures", mFailures } });
   }
   mBoard.mStoreReached[mTable] = mLoop.Now();
   CountStoreCall(mBoard.mMetrics, table_reading::outcome::Good);
   mReached = true;
-  mTroubled = false;
+  mFailing = false;
 }
 
 void
 table_follower::RecordFailure(const table_reading& aReading)
 {
-  const bool lost = aReading.mOutcome == table_reading::outcome::HistoryLost;
-  if (lost) {
+  const bool historyLost =
+    aReading.mOutcome == table_reading::outcome::HistoryLost;
+  if (historyLost) {
     Log(log_level::Warning,
         "store_history_lost",
         { { "table", mTable }, { "revision", mRevision.value_or(0) } });
-  } else if (!mTroubled) {
-    mTroubled = true;
+  } else if (!mFailing) {
+    mFailing = true;
     mFailingSince = mLoop.Now();
     Log(
       log_level::Warning,
@@ -261,7 +268,7 @@
                                                                : "no_answer" },
         { "revision", mRevision.value_or(0) } });
   }
-  mReached = mReached && lost;
+  mReached = mReached && historyLost;
   mMayHaveMissedChanges = true;
   CountStoreCall(mBoard.mMetrics, aReading.mOutcome);
   mBoard.mMetrics.Count("gateway_store_failures_total");
@@ -275,7 +282,7 @@
     mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
   mTimer = mLoop.After(pause, [this]() {
     mTimer = 0;
-    Ask();
+    Resume();
   });
 }
 
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -1,17 +1,18 @@
 #pragma once
 
-/// Keeps a copy of one table of the platform: a whole reading, then a long poll
-/// for changes, again and again, through whatever the platform does.
+/// Follows one table of the platform's store: a full read, then long polls for
+/// changes. Failed calls are retried, and the table is read in full again after
+/// a failure or if its history was lost.
 
 #include "LibGateway/GatewayBoard.h"
 
 namespace primrose {
 
-/// True if the table has more rows than this answer.
+/// True if the table has more rows than this page.
 bool
 HasMoreRows(const table_reading& aReading);
 
-/// Where the next answer begins: the first key that sorts behind the last one.
+/// Where the next page begins: a key that sorts directly after the last one.
 std::string
 NextPageKey(const table_reading& aReading);
 
@@ -20,38 +21,43 @@
 public:
   struct listener
   {
-    /// A whole reading as of a revision.
-    std::function<void(const table_reading&)> mWhole;
-    std::function<void(const table_reading&)> mChanges;
+    /// Called with the full table as of a revision.
+    std::function<void(const table_reading&)> mOnTable;
+    /// Called with the rows that have changed.
+    std::function<void(const table_reading&)> mOnChanges;
   };
 
-  /// After changes the next question waits for `aGather`, so that a row of them
-  /// comes in few answers; short against the bound on such changes.
+  /// After a change the next poll waits for `aBatchDelay`, so that a series of
+  /// changes arrives in few answers. It must be short compared with the time
+  /// within which changes have to take effect.
   table_follower(event_loop& aLoop,
                  const gateway_adapter& aAdapter,
                  gateway_board& aBoard,
                  const ip_address& aStore,
                  std::string aTable,
-                 duration aGather,
+                 duration aBatchDelay,
                  listener aListener);
   ~table_follower();
   table_follower(const table_follower&) = delete;
   table_follower& operator=(const table_follower&) = delete;
 
   void Start();
-  /// Asks anew at once: somebody else knows of a change that was not heard of
-  /// here, so the question that is open may have gone silent. It is left open
-  /// if its answer is coming, or if it is not older than `aPatience`.
-  void Refresh(duration aPatience);
-  /// False while the last call failed.
+  /// Abandons the running call and sends a new one at once. Called when a peer
+  /// has a newer version, since the running call may then be lost. The call is
+  /// kept if a part of its answer has arrived or it is not older than
+  /// `aTimeout`.
+  void Refresh(duration aTimeout);
+  /// False if the last call failed.
   bool Reached() const { return mReached; }
 
 private:
-  /// The changes since the newest revision that is known, or the whole table.
-  void Ask();
+  /// Polls for changes since the last revision, or starts a full read if there
+  /// is no revision or changes may have been missed.
+  void Resume();
+  /// Reads one page of a full read; an empty key starts from the beginning.
   void ReadTableFrom(const std::string& aFromKey);
-  /// Reads an answer; logs what took long, or carried much.
-  table_reading Decode(const http_answer& aAnswer);
+  /// Decodes an answer; logs slow and large ones.
+  table_reading DecodeAnswer(const http_answer& aAnswer);
   void OnTablePage(table_reading aReading);
   void ReadChanges();
   void OnChanges(const table_reading& aReading);
@@ -64,20 +70,20 @@
   gateway_board& mBoard;
   std::string mTable;
   duration mChangeBatchDelay;
-  bool mChangeBatchPending =
-    false; ///< The next question waits for further changes.
+  bool mChangeBatchPending = false; ///< The next poll is delayed.
   listener mListener;
   http_caller mCaller;
-  table_reading mGathered;
+  table_reading mAccumulated;
   std::optional<std::uint64_t> mRevision;
-  /// Changes may have been missed. They are not asked for one after the other,
-  /// which brings each version of each row that there was: the whole table has
-  /// one of each.
+  /// If set, the next call is a full read. Polling instead would transfer each
+  /// version of each row since the last revision, while a full read has only
+  /// the newest of each.
   bool mMayHaveMissedChanges = false;
-  /// The last answer came to all entries at one moment.
+  /// The last answer reached all gateways at the same moment, so the next poll
+  /// gets a random wait.
   bool mJitterNextPoll = false;
   bool mReached = false;
-  bool mTroubled = false;
+  bool mFailing = false;
   time_point mFailingSince{};
   unsigned mFailures = 0;
   timer_id mTimer = 0;
--- a/Tests/Gateway/TableSyncTest.cpp
+++ b/Tests/Gateway/TableSyncTest.cpp
@@ -272,7 +272,7 @@
           [&loop, &aPlaced](std::string_view aBytes, const ip_address&) {
             const outcome<peer_message> read = Capture<peer_message>(
               [&]() { return DecodePeerMessage(aBytes, loop.Now()); });
-            aPlaced += read ? read.mValue->mUpdates.mPlaced.size() : 0;
+            aPlaced += read ? read.mValue->mUpdates.mNewPlacements.size() : 0;
           });
       });
     CPPUNIT_ASSERT(static_cast<bool>(opened));
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -162,9 +162,9 @@
                 aParts,
                 aRandom);
     peer_message news = EmptyMessage();
-    news.mUpdates.mPlaced = { placed };
+    news.mUpdates.mNewPlacements = { placed };
     peer_message end = EmptyMessage();
-    end.mUpdates.mEnded = { placed.mKey };
+    end.mUpdates.mEndedPlacements = { placed.mKey };
     const std::size_t concerned =
       HostsThatPrefer(aFleet.mRing, aFleet.mPeers, placed.mEngines).size();
     std::size_t sent = 0;
@@ -314,10 +314,10 @@
     message.mBoot = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
-    message.mUpdates.mPlaced = { ShortPlacement() };
+    message.mUpdates.mNewPlacements = { ShortPlacement() };
     CPPUNIT_ASSERT(EncodePeerMessage(message, kStart).size() <= kShortNews);
     message.mUpdates = {};
-    message.mUpdates.mEnded = { ShortPlacement().mKey };
+    message.mUpdates.mEndedPlacements = { ShortPlacement().mKey };
     CPPUNIT_ASSERT(EncodePeerMessage(message, kStart).size() <= kShortNews / 2);
   }
 
@@ -336,18 +336,20 @@
         *rc::gen::nonEmpty(rc::gen::arbitrary<std::vector<engine_key>>());
       placed.mHolders = *rc::gen::arbitrary<std::vector<engine_key>>();
       placed.mHolderTokens = placed.mHolders.empty() ? 0 : 51000;
-      message.mUpdates.mPlaced = { placed };
-      message.mUpdates.mEnded = { PlacementKey(aBoot, 1) };
-      message.mUpdates.mUnread = { PlacementKey(aBoot, 2) };
+      message.mUpdates.mNewPlacements = { placed };
+      message.mUpdates.mEndedPlacements = { PlacementKey(aBoot, 1) };
+      message.mUpdates.mEndedBeforePrefill = { PlacementKey(aBoot, 2) };
       message.mUpdates.mHelpRefused = { EngineKey(aHost) };
-      message.mUpdates.mTroubled = { EngineKey(aHost), 7 };
+      message.mUpdates.mFailedEndpoints = { EngineKey(aHost), 7 };
       message.mUpdates.mLimits = {
         { EngineKey(aHost), 1.6, kStart - std::chrono::milliseconds(340) },
         { 7, std::nullopt, kStart }
       };
       message.mUpdates.mCrashes = { { aBoot, EngineKey(aHost), true },
                                     { 7, 8, false } };
-      message.mUpdates.mHeld = { { aBoot, 2, std::chrono::seconds(86399) } };
+      message.mUpdates.mQuarantined = {
+        { aBoot, 2, std::chrono::seconds(86399) }
+      };
       message.mUpdates.mCleared = { aBoot, 9 };
       message.mQuarantineHash = *rc::gen::arbitrary<std::uint64_t>();
       message.mHosts = { "10.1.0.9", "10.2.0.4" };
@@ -367,13 +369,13 @@
     rc::check("mutated news", [](const std::string& aNoise) {
       peer_message message;
       message.mBoot = kBoot;
-      message.mUpdates.mPlaced = { ShortPlacement() };
+      message.mUpdates.mNewPlacements = { ShortPlacement() };
       std::string bytes = EncodePeerMessage(message, kStart);
       const std::size_t at = *rc::gen::inRange<std::size_t>(0, bytes.size());
       bytes.replace(at, aNoise.size(), aNoise);
       const outcome<peer_message> read = Capture<peer_message>(
         [&bytes]() { return DecodePeerMessage(bytes, kStart); });
-      RC_ASSERT(!read || read.mValue->mUpdates.mPlaced.size() < 4096);
+      RC_ASSERT(!read || read.mValue->mUpdates.mNewPlacements.size() < 4096);
     });
     CPPUNIT_ASSERT(!Capture<peer_message>(
       []() { return DecodePeerMessage("GET / HTTP/1.1\r\n\r\n", kStart); }));
