--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -8,6 +8,8 @@
 
 namespace primrose {
 
+/// The Announce functions send to the peers that prefer the engines concerned,
+/// as far as the byte budget allows; the Broadcast functions send to all peers.
 class gossip_sender
 {
 public:
@@ -20,7 +22,6 @@
 
   /// Sets the socket; nothing is sent before.
   void Open(datagram_socket& aSocket);
-  // The Announce functions send to the peers that prefer the engines concerned.
   void AnnouncePlacement(const placement& aPlacement);
   /// `aEngines` are those of the placement as it was announced.
   void AnnouncePlacementEnd(placement_key aKey,
@@ -33,7 +34,6 @@
   void AnnounceEndpointFailure(engine_key aEndpoint);
   /// An endpoint's limit started, changed, was confirmed or ended.
   void AnnounceLimit(const limit_report& aLimit);
-  // The Broadcast functions send to all peers.
   /// An endpoint crashed while it ran a request. All gateways need the report,
   /// since any of them may receive the request next.
   void BroadcastCrash(const crash_report& aReport);
