--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -78,12 +78,12 @@
         { "was_held", static_cast<int>(aWasQuarantined) } });
 }
 
-/// Erases entries that are at least `aAge` old.
+/// Erases elements that are at least `aAge` old.
 template<typename Key>
 void
-EraseOlder(std::map<Key, time_point>& aNoted, duration aAge, time_point aNow)
+EraseOlder(std::map<Key, time_point>& aTimes, duration aAge, time_point aNow)
 {
-  std::erase_if(aNoted, [aAge, aNow](const auto& aEntry) {
+  std::erase_if(aTimes, [aAge, aNow](const auto& aEntry) {
     return aEntry.second + aAge <= aNow;
   });
 }
@@ -153,9 +153,9 @@
 void
 crash_detector::RunWaitingCallbacks()
 {
-  for (const std::function<void()>& then :
+  for (const std::function<void()>& callback :
        std::exchange(mWaitingCallbacks, {})) {
-    then();
+    callback();
   }
 }
 
@@ -164,7 +164,7 @@
 {
   const std::string& id = aAttempt.mEndpointId;
   if (mCrashed.contains(id)) {
-    RecordCrash({ aAttempt.mRequest, EngineKey(id), aAttempt.mAnswering });
+    ReportCrash({ aAttempt.mRequest, EngineKey(id), aAttempt.mAnswering });
     return;
   }
   const auto known = mBoard.mEndpoints.mEndpoints.find(id);
@@ -245,7 +245,7 @@
       { "requests", failures.size() },
       { "after_ms", Milliseconds(mLoop.Now() - failures.front().mFailedAt) } });
   for (const unresolved_failure& one : failures) {
-    RecordCrash({ one.mAttempt.mRequest,
+    ReportCrash({ one.mAttempt.mRequest,
                   EngineKey(aEndpointId),
                   one.mAttempt.mAnswering });
   }
@@ -267,7 +267,7 @@
 }
 
 void
-crash_detector::RecordCrash(const crash_report& aReport)
+crash_detector::ReportCrash(const crash_report& aReport)
 {
   const time_point now = mLoop.Now();
   const crash_effect effect = NoteCrash(mBoard.mQuarantine, aReport, now);
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -97,7 +97,7 @@
                          const ip_address& aAddress);
   void OnReachabilityResult(const std::string& aEndpointId,
                             reachability aResult);
-  void RecordCrash(const crash_report& aReport);
+  void ReportCrash(const crash_report& aReport);
   void OnQuarantined(request_digest aRequest, const std::string& aReporter);
   void ScheduleClearedBroadcast(request_digest aRequest);
   void ExpireOldState();
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Interval of heartbeats, and after how many times the usual spacing of its
-/// heartbeats a peer without any counts as lost.
 constexpr duration kHeartbeatInterval = std::chrono::seconds(1);
+/// A peer counts as lost if nothing arrives from it for this many times the
+/// usual spacing of its heartbeats.
 constexpr unsigned kMissedHeartbeats = 4;
-/// Candidate hosts are sent a heartbeat once every so many intervals.
+/// Candidate hosts are sent a heartbeat once in this many intervals.
 constexpr unsigned kCandidateHeartbeats = 3;
 
 /// The usual time between two heartbeats that are received from one peer. Where
--- a/Libraries/LibGateway/PeerSnapshot.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -127,8 +127,8 @@
     return;
   }
   mFetching = true;
-  // This may be called from the previous call's callback, so the caller object
-  // must outlive it.
+  // This may run inside the callback of the previous call, so its caller object
+  // is deleted only later.
   mLoop.DeleteLater(std::move(mCaller));
   mCaller = std::make_shared<http_caller>(
     mLoop, ip_address{ aHost, mSettings.mPeers.mPort });
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -5,7 +5,7 @@
 /// gateway.
 ///
 /// A quarantined request has a row with its digest as key, and one more row for
-/// each claim_callback trial. Rows are only added, or all rows of a request are
+/// each claimed trial. Rows are only added, or all rows of a request are
 /// removed together, so the result does not depend on the order of writes whose
 /// answers were lost.
 
@@ -64,7 +64,7 @@
 /// Key of the row of a quarantined request.
 std::string
 QuarantineRowKey(request_digest aRequest);
-/// Key of the row of a claim_callback trial.
+/// Key of the row of a claimed trial.
 std::string
 TrialRowKey(request_digest aRequest, unsigned aTrial);
 /// Parses either kind of key; no value if it is neither.
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -50,7 +50,7 @@
     version == mVersionAtLastCheck ? mChecksWithoutProgress : 0;
   mVersionAtLastCheck = version;
   // A change that a peer has just received from the store usually arrives here
-  // as well. Only if it does not arrive in time, this gateway's version request
+  // as well. Only if it does not arrive in time, this gateway's own request
   // to the store has probably been lost.
   const duration wait = BehindPatience(mChecksWithoutProgress);
   mTimer = mLoop.After(wait, [this, wait]() {
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -22,7 +22,7 @@
 /// machine. 256 KB take a seventh of a second at 20 Mbit/s.
 constexpr std::size_t kMaxSupersededBytes = std::size_t{ 256 } * 1024;
 
-/// Bytes of row versions that a newerKeys version in the same answer
+/// Bytes of row versions that a later version in the same answer
 /// supersedes.
 std::size_t
 SupersededBytes(const table_reading& aReading)
@@ -88,7 +88,7 @@
     return;
   }
   // A recent call, or one whose answer is arriving, is not considered
-  // historyLost.
+  // lost.
   if (mCaller.Busy() &&
       (mCaller.Received() > 0 || mCaller.Asking() < aTimeout)) {
     Log(log_level::Info,
@@ -109,7 +109,7 @@
     mBoard.mMetrics.Count(
       Labelled("gateway_store_given_up_total", "table", mTable));
     // A network path that drops packets gives no error. The abandoned call has
-    // to count as a failure, or else the store would never count as historyLost
+    // to count as a failure, or else the store would never count as lost
     // here and no snapshot would be fetched from a peer.
     RecordFailure(table_reading{});
   }
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// Follows one table of the platform's store: a full read, then long polls for
-/// changes. Failed calls are retried, and the table is read in full again after
-/// a failure or if its history was lost.
+/// changes. After a failed call, or if the store has lost the history since the
+/// last revision, it reads the whole table again.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -47,7 +47,7 @@
   /// kept if a part of its answer has arrived or it is not older than
   /// `aTimeout`.
   void Refresh(duration aTimeout);
-  /// False if the last call failed.
+  /// True after a successful call, until one gets no answer or is refused.
   bool Reached() const { return mReached; }
 
 private:
@@ -61,7 +61,9 @@
   void OnTablePage(table_reading aReading);
   void ReadChanges();
   void OnChanges(const table_reading& aReading);
+  /// Updates state, log and metrics after a failed call.
   void RecordFailure(const table_reading& aReading);
+  /// Records the failure and schedules a retry with back-off.
   void RetryAfterFailure(const table_reading& aReading);
   void RecordSuccess();
 
--- a/Tests/Gateway/StoreOutageTest.cpp
+++ b/Tests/Gateway/StoreOutageTest.cpp
@@ -7,9 +7,10 @@
 using std::chrono::milliseconds;
 
 /// Guards against a stale manifest after the network path to the store is lost
-/// without an error. One gateway of 27 refused an added route with 404, and
-/// would have kept serving a removed key, during an outage of twelve seconds
-/// and four seconds beyond it. Two faults caused this:
+/// without an error. One gateway of 27 refused an added route with 404 for
+/// seconds, and would have kept accepting a removed key. It had lost its path
+/// to the store for twelve seconds and stayed stale for four seconds more. Two
+/// faults caused this:
 ///
 /// - Peers reported newer versions in every datagram, so the gateway abandoned
 ///   its call and sent a new one to the unresponsive store every 1.8 s. This
@@ -38,7 +39,7 @@
              : aGateway.Board().mManifest->Manifest().mVersion;
   }
 
-  /// Two gateways that are peers. The setup one has a store of its own, with
+  /// Two gateways that are peers. The second one has a store of its own, with
   /// the same content as the store of the first one.
   struct gateway_with_own_store
   {
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -265,7 +265,7 @@
       const std::size_t inFlight =
         one.mEngines * one.mSlots / one.mGateways + 1;
       // Reports by one gateway: at most one for each engine that crashes
-      // singleCrashReports.
+      // alone.
       const std::size_t singleCrashReports =
         one.mEngines / 10 * std::min(one.mSlots, one.mGateways) /
           one.mGateways +
@@ -305,8 +305,8 @@
       const double recipients = static_cast<double>(
         std::min(one.mGateways - 1, static_cast<std::size_t>(kAlwaysTold)));
       const double perGateway = static_cast<double>(one.mEngines) /
-                              static_cast<double>(one.mGateways) /
-                              kAnnouncePeriodSeconds;
+                                static_cast<double>(one.mGateways) /
+                                kAnnouncePeriodSeconds;
       CPPUNIT_ASSERT(
         BytesPerSecond(one.mGateways, one.mEngines, one.mPerSecond) +
           perGateway * recipients * bytes <
