--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -2,7 +2,7 @@
 
 #include "LibGateway/GatewayMetrics.h"
 #include "LibGateway/HttpResponder.h"
-#include "LibGateway/LimitBoard.h"
+#include "LibGateway/LimitUpdates.h"
 
 namespace primrose {
 
