--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -38,7 +38,7 @@
   switch (aEffect) {
     case crash_effect::Nothing:
       return "known";
-    case crash_effect::Noted:
+    case crash_effect::Recorded:
       return "noted";
     case crash_effect::Held:
       return "held";
@@ -126,7 +126,7 @@
 void
 crash_detector::Start()
 {
-  mTable.LoadRows([this](const std::vector<held_request>& aQuarantined) {
+  mTable.LoadRows([this](const std::vector<quarantined_request>& aQuarantined) {
     MergeQuarantined(aQuarantined, "platform");
     mBoard.mQuarantineKnown = true;
     RunWaitingCallbacks();
@@ -270,7 +270,7 @@
 crash_detector::ReportCrash(const crash_report& aReport)
 {
   const time_point now = mLoop.Now();
-  const crash_effect effect = NoteCrash(mBoard.mQuarantine, aReport, now);
+  const crash_effect effect = RecordCrash(mBoard.mQuarantine, aReport, now);
   Log(log_level::Info,
       "request_suspected",
       { { "digest", DigestText(aReport.mRequest) },
@@ -302,7 +302,7 @@
   if (failures != mUnresolvedFailures.end()) {
     OnEndpointCrashed(std::string(failures->first), "told");
   }
-  switch (NoteCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
+  switch (RecordCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
     case crash_effect::Held:
       OnQuarantined(aReport.mRequest, aHost);
       return;
@@ -310,7 +310,7 @@
       ScheduleClearedBroadcast(aReport.mRequest);
       return;
     case crash_effect::Nothing:
-    case crash_effect::Noted:
+    case crash_effect::Recorded:
       return;
   }
 }
@@ -334,7 +334,7 @@
 crash_detector::OnRequestAnswered(request_digest aRequest)
 {
   const bool wasQuarantined = mBoard.mQuarantine.mHeld.contains(aRequest);
-  if (!NoteServed(mBoard.mQuarantine, aRequest, mLoop.Now())) {
+  if (!RecordAnswered(mBoard.mQuarantine, aRequest, mLoop.Now())) {
     return;
   }
   LogCleared(log_level::Warning, aRequest, "", wasQuarantined);
@@ -349,7 +349,7 @@
 crash_detector::OnPeerCleared(request_digest aRequest, const std::string& aHost)
 {
   const bool wasQuarantined =
-    NoteCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
+    RecordCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
   mClearedBroadcastsDue.erase(aRequest);
   mTableWritesDue.erase(aRequest);
   if (wasQuarantined) {
@@ -361,14 +361,15 @@
 }
 
 void
-crash_detector::MergeQuarantined(const std::vector<held_request>& aQuarantined,
-                                 const std::string& aHost)
+crash_detector::MergeQuarantined(
+  const std::vector<quarantined_request>& aQuarantined,
+  const std::string& aHost)
 {
   const time_point now = mLoop.Now();
-  for (const held_request& one : aQuarantined) {
-    if (ServedLately(mBoard.mQuarantine, one.mRequest, now)) {
+  for (const quarantined_request& one : aQuarantined) {
+    if (AnsweredRecently(mBoard.mQuarantine, one.mRequest, now)) {
       ScheduleClearedBroadcast(one.mRequest);
-    } else if (NoteHeld(mBoard.mQuarantine, one, now)) {
+    } else if (RecordQuarantined(mBoard.mQuarantine, one, now)) {
       OnQuarantined(one.mRequest, aHost);
     }
   }
@@ -384,13 +385,14 @@
   // this.
   const time_point now = mLoop.Now();
   if (aPeerHash == 0 || mBoard.mQuarantine.mHeld.empty() ||
-      aPeerHash == HeldState(mBoard.mQuarantine)) {
+      aPeerHash == QuarantineChecksum(mBoard.mQuarantine)) {
     return;
   }
   time_point& lastSend = mLastFullSend[aHost];
   if (now - lastSend >= kResyncInterval) {
     lastSend = now;
-    mSender.SendQuarantined(AllHeld(mBoard.mQuarantine, now), aHost);
+    mSender.SendQuarantined(QuarantinedRequests(mBoard.mQuarantine, now),
+                            aHost);
   }
 }
 
@@ -402,15 +404,15 @@
   mClearedBroadcastsDue.emplace(aRequest, mLoop.Now() + within);
 }
 
-suspicion
+crash_score
 crash_detector::PendingSuspicion(request_digest aRequest) const
 {
-  suspicion sum = 0;
+  crash_score sum = 0;
   for (const auto& [endpoint, failures] : mUnresolvedFailures) {
     for (const unresolved_failure& one : failures) {
       if (one.mAttempt.mRequest == aRequest && one.mAttempt.mConnectionBroke &&
           !one.mReached) {
-        sum += SuspicionOfEnd(one.mAttempt.mAnswering);
+        sum += ScoreOfCrash(one.mAttempt.mAnswering);
       }
     }
   }
@@ -420,7 +422,7 @@
 quarantine_verdict
 crash_detector::Verdict(request_digest aRequest) const
 {
-  return VerdictOn(
+  return QuarantineVerdictFor(
     mBoard.mQuarantine, aRequest, PendingSuspicion(aRequest), mLoop.Now());
 }
 
@@ -447,7 +449,7 @@
       } else {
         // If no answer arrived, the store may have granted the trial to this
         // gateway or to another one.
-        NoteTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
+        RecordTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
       }
       Log(log_level::Warning,
           "quarantine_trial",
@@ -468,7 +470,7 @@
 {
   const time_point now = mLoop.Now();
   for (const request_digest request : TakeDue(mClearedBroadcastsDue, now)) {
-    if (ServedLately(mBoard.mQuarantine, request, now)) {
+    if (AnsweredRecently(mBoard.mQuarantine, request, now)) {
       mSender.BroadcastCleared(request);
     }
   }
@@ -504,7 +506,8 @@
   std::erase_if(mLastFullSend, [this](const auto& aEntry) {
     return !mBoard.mPeers.contains(aEntry.first);
   });
-  for (const request_digest freed : ForgetOldCrashes(mBoard.mQuarantine, now)) {
+  for (const request_digest freed :
+       ExpireCrashRecords(mBoard.mQuarantine, now)) {
     LogCleared(log_level::Info, freed, "time", true);
     mWrittenRows.erase(freed);
     if (IsResponsibleGateway(mBoard, mSettings.mPeers.mHost, freed)) {
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -67,7 +67,7 @@
 
   void OnPeerCrashReport(const crash_report& aReport, const std::string& aHost);
   /// Adds quarantined requests received from a peer or read from the store.
-  void MergeQuarantined(const std::vector<held_request>& aQuarantined,
+  void MergeQuarantined(const std::vector<quarantined_request>& aQuarantined,
                         const std::string& aHost);
   void OnPeerCleared(request_digest aRequest, const std::string& aHost);
   /// Compares a peer's hash of its quarantine with this gateway's own. If they
@@ -90,9 +90,9 @@
     bool mReached = false; ///< The endpoint has accepted a connection since.
     time_point mFailedAt{};
   };
-  /// The suspicion that unresolved failures of this request would add if their
-  /// endpoints turned out to have crashed.
-  suspicion PendingSuspicion(request_digest aRequest) const;
+  /// The crash_score that unresolved failures of this request would add if
+  /// their endpoints turned out to have crashed.
+  crash_score PendingSuspicion(request_digest aRequest) const;
   void CheckReachability(const std::string& aEndpointId,
                          const ip_address& aAddress);
   void OnReachabilityResult(const std::string& aEndpointId,
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -125,7 +125,7 @@
 
 void
 gossip_sender::BroadcastQuarantined(
-  const std::vector<held_request>& aQuarantined)
+  const std::vector<quarantined_request>& aQuarantined)
 {
   mBroadcastBatch.mQuarantined.insert(mBroadcastBatch.mQuarantined.end(),
                                       aQuarantined.begin(),
@@ -134,8 +134,9 @@
 }
 
 void
-gossip_sender::SendQuarantined(const std::vector<held_request>& aQuarantined,
-                               const std::string& aHost)
+gossip_sender::SendQuarantined(
+  const std::vector<quarantined_request>& aQuarantined,
+  const std::string& aHost)
 {
   for (std::size_t from = 0; from < aQuarantined.size();
        from += kMaxQuarantinedPerDatagram) {
@@ -186,7 +187,7 @@
   const std::size_t sent = bytes.size() * mBoard.mPeers.size();
   // Broadcasts are never cut, so their bytes are charged to the budget of
   // placements, which then go to fewer peers for a while.
-  ChargeNews(mBudget, sent, mLoop.Now());
+  ChargePeerBytes(mBudget, sent, mLoop.Now());
   CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
 }
 
@@ -236,7 +237,7 @@
 gossip_sender::EncodeHeartbeat(bool aListsHosts)
 {
   peer_message message = NewMessage();
-  message.mQuarantineHash = HeldState(mBoard.mQuarantine);
+  message.mQuarantineHash = QuarantineChecksum(mBoard.mQuarantine);
   if (!aListsHosts) {
     return EncodePeerMessage(message, mLoop.Now());
   }
@@ -282,7 +283,7 @@
                                 std::size_t aBytes)
 {
   const std::size_t chosen =
-    TakePeersToTell(mBudget, aHosts.size(), aBytes, mLoop.Now());
+    TakeRecipientCount(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
     "gateway_news_total", "told", chosen == aHosts.size() ? "all" : "some"));
   CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, chosen * aBytes);
@@ -311,7 +312,7 @@
   // this gateway's placements hear from it regularly.
   const std::string bytes =
     EncodeHeartbeat(mHeartbeats++ % kHeartbeatsPerHostList == 0);
-  const std::size_t chosen = PeersPerBeat(mBoard.mPeers.size());
+  const std::size_t chosen = PeersPerHeartbeat(mBoard.mPeers.size());
   std::map<std::string, peer_entry>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastHeartbeatHost);
   for (std::size_t i = 0; i < chosen; ++i, ++next) {
--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -39,9 +39,10 @@
   void BroadcastCrash(const crash_report& aReport);
   /// This gateway answered a request that peers may suspect or quarantine.
   void BroadcastCleared(request_digest aRequest);
-  void BroadcastQuarantined(const std::vector<held_request>& aQuarantined);
+  void BroadcastQuarantined(
+    const std::vector<quarantined_request>& aQuarantined);
   /// Sends these quarantined requests to one peer.
-  void SendQuarantined(const std::vector<held_request>& aQuarantined,
+  void SendQuarantined(const std::vector<quarantined_request>& aQuarantined,
                        const std::string& aHost);
   /// Sends what is batched, then tells all peers that this gateway is leaving.
   void BroadcastLeaving();
@@ -77,7 +78,7 @@
   std::vector<engine_key> mBatchEngines; ///< Engines that `mBatch` concerns.
   std::string mLastHeartbeatHost;
   unsigned mHeartbeats = 0;
-  news_budget mBudget;
+  peer_send_budget mBudget;
   bool mLeaving = false;
   peer_updates mBroadcastBatch;
   timer_id mBroadcastTimer = 0;
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -21,7 +21,7 @@
 duration
 HeartbeatSpacing(std::size_t aPeers)
 {
-  const std::size_t recipients = PeersPerBeat(aPeers);
+  const std::size_t recipients = PeersPerHeartbeat(aPeers);
   return recipients == aPeers
            ? kHeartbeatInterval
            : kHeartbeatInterval *
--- a/Libraries/LibGateway/PeerMessage.h
+++ b/Libraries/LibGateway/PeerMessage.h
@@ -31,7 +31,7 @@
   std::vector<engine_key> mFailedEndpoints; ///< Endpoints that failed.
   std::vector<limit_report> mLimits;
   std::vector<crash_report> mCrashes;
-  std::vector<held_request> mQuarantined;
+  std::vector<quarantined_request> mQuarantined;
   std::vector<request_digest> mCleared; ///< Requests that were answered.
 
   bool operator==(const peer_updates&) const = default;
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -32,10 +32,10 @@
   return DigestText(aRequest) + '-' + std::to_string(aTrial);
 }
 
-std::optional<held_request>
+std::optional<quarantined_request>
 ParseQuarantineRowKey(std::string_view aKey)
 {
-  held_request held;
+  quarantined_request held;
   const char* const end = aKey.data() + aKey.size();
   const std::from_chars_result digits =
     std::from_chars(aKey.data(), end, held.mRequest, kHexBase);
@@ -85,10 +85,10 @@
                    return;
                  }
                  for (const row_change<std::string>& row : reading.mRows) {
-                   const std::optional<held_request> parsed =
+                   const std::optional<quarantined_request> parsed =
                      ParseQuarantineRowKey(row.mKey);
                    if (parsed.has_value()) {
-                     held_request& held = mLoaded[parsed->mRequest];
+                     quarantined_request& held = mLoaded[parsed->mRequest];
                      held.mRequest = parsed->mRequest;
                      held.mTrials = std::max(held.mTrials, parsed->mTrials);
                    }
@@ -97,7 +97,7 @@
                    LoadRowsFrom(NextPageKey(reading));
                    return;
                  }
-                 std::vector<held_request> all;
+                 std::vector<quarantined_request> all;
                  for (const auto& [request, held] :
                       std::exchange(mLoaded, {})) {
                    all.push_back(held);
@@ -141,7 +141,7 @@
 quarantine_table::Remove(request_digest aRequest)
 {
   std::vector<std::string> keys = { QuarantineRowKey(aRequest) };
-  for (unsigned trial = 1; trial <= kMostTrials; ++trial) {
+  for (unsigned trial = 1; trial <= kMaxTrials; ++trial) {
     keys.push_back(TrialRowKey(aRequest, trial));
   }
   mCaller.Call(mAdapter.mRemoveRows(mAdapter.mQuarantineTable, keys),
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -17,7 +17,7 @@
 {
 public:
   using loaded_callback =
-    std::function<void(const std::vector<held_request>& aQuarantined)>;
+    std::function<void(const std::vector<quarantined_request>& aQuarantined)>;
   using claim_callback = std::function<void(write_outcome aOutcome)>;
 
   quarantine_table(event_loop& aLoop,
@@ -53,7 +53,7 @@
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
   loaded_callback mOnLoaded;
-  std::map<request_digest, held_request> mLoaded;
+  std::map<request_digest, quarantined_request> mLoaded;
   std::optional<std::string> mNextKeyToLoad; ///< Read from here at `mRetryAt`.
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
@@ -68,7 +68,7 @@
 std::string
 TrialRowKey(request_digest aRequest, unsigned aTrial);
 /// Parses either kind of key; no value if it is neither.
-std::optional<held_request>
+std::optional<quarantined_request>
 ParseQuarantineRowKey(std::string_view aKey);
 
 } // namespace primrose
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -52,7 +52,7 @@
   // A change that a peer has just received from the store usually arrives here
   // as well. Only if it does not arrive in time, this gateway's own request
   // to the store has probably been lost.
-  const duration wait = BehindPatience(mChecksWithoutProgress);
+  const duration wait = CatchUpTimeout(mChecksWithoutProgress);
   mTimer = mLoop.After(wait, [this, wait]() {
     mTimer = 0;
     if (!IsStale()) {
@@ -70,7 +70,7 @@
 {
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
   // A peer receiving a change slightly earlier is normal and not logged.
-  if (since.has_value() && mLoop.Now() - *since > BehindPatience(0)) {
+  if (since.has_value() && mLoop.Now() - *since > CatchUpTimeout(0)) {
     Log(log_level::Warning,
         "belief_was_behind",
         { { "belief", mName },
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -191,7 +191,7 @@
 void
 table_follower::ReadChanges()
 {
-  const duration wait = QuestionWait(
+  const duration wait = LongPollWait(
     mBoard.mPeers.size(),
     mJitterNextPoll ? std::optional(Uniform(mBoard.mRandom)) : std::nullopt);
   mJitterNextPoll = false;
@@ -278,8 +278,8 @@
 table_follower::RetryAfterFailure(const table_reading& aReading)
 {
   RecordFailure(aReading);
-  const duration pause = PauseAfterFailure(
-    mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
+  const duration pause =
+    StoreBackoff(mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
   mTimer = mLoop.After(pause, [this]() {
     mTimer = 0;
     Resume();
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -38,12 +38,12 @@
                std::size_t aPerSecond,
                std::chrono::seconds aFor)
 {
-  news_budget budget;
+  peer_send_budget budget;
   std::vector<std::size_t> recipients;
   const duration gap = duration(std::chrono::seconds(1)) / aPerSecond;
   for (time_point now = kStart; now < kStart + aFor; now += gap) {
     recipients.push_back(
-      TakePeersToTell(budget, aPeers, kShortMessageBytes, now));
+      TakeRecipientCount(budget, aPeers, kShortMessageBytes, now));
   }
   return recipients;
 }
@@ -158,7 +158,7 @@
   /// Bytes sent for one placement and its end, over all recipients.
   static std::size_t BytesOfRequest(const sized_fleet& aFleet,
                                     std::size_t aParts,
-                                    news_budget& aBudget,
+                                    peer_send_budget& aBudget,
                                     random_engine& aRandom,
                                     time_point aNow)
   {
@@ -178,7 +178,7 @@
     std::size_t sent = 0;
     for (const peer_message& one : { announcement, end }) {
       const std::size_t bytes = EncodePeerMessage(one, aNow).size();
-      sent += bytes * TakePeersToTell(aBudget, preferringPeers, bytes, aNow);
+      sent += bytes * TakeRecipientCount(aBudget, preferringPeers, bytes, aNow);
     }
     return sent;
   }
@@ -194,7 +194,7 @@
     constexpr std::size_t kHostsPerHeartbeat = 16;
     constexpr std::size_t kHeartbeatsPerHostList = 4;
     const sized_fleet fleet = FleetOf(aGateways, aEngines);
-    news_budget budget;
+    peer_send_budget budget;
     random_engine random(5);
     std::size_t sent = 0;
     const std::size_t requests =
@@ -211,7 +211,7 @@
       EncodePeerMessage(heartbeat, kStart).size();
     heartbeat.mHosts.assign(kHostsPerHeartbeat, "10.255.255.255");
     const std::size_t withHosts = EncodePeerMessage(heartbeat, kStart).size();
-    const std::size_t heartbeats = PeersPerBeat(aGateways - 1) * kSeconds;
+    const std::size_t heartbeats = PeersPerHeartbeat(aGateways - 1) * kSeconds;
     sent += heartbeats *
             (withHosts + (kHeartbeatsPerHostList - 1) * withoutHosts) /
             kHeartbeatsPerHostList;
@@ -302,8 +302,8 @@
     for (const size& one : { size{ 15, 23, 3.0 },
                              size{ 103, 172, 3.1 },
                              size{ 350, 1200, 4.0 } }) {
-      const double recipients = static_cast<double>(
-        std::min(one.mGateways - 1, static_cast<std::size_t>(kAlwaysTold)));
+      const double recipients = static_cast<double>(std::min(
+        one.mGateways - 1, static_cast<std::size_t>(kFullBroadcastPeers)));
       const double perGateway = static_cast<double>(one.mEngines) /
                                 static_cast<double>(one.mGateways) /
                                 kAnnouncePeriodSeconds;
