--- a/Libraries/LibDecision/Explain.cpp
+++ b/Libraries/LibDecision/Explain.cpp
@@ -20,17 +20,17 @@
   if (known != mRecords.end()) {
     // The newest takes the last place: how a request ended matters more than
     // its fortieth delay.
-    if (known->second.size() >= kMostRecords) {
+    if (known->second.size() >= kMaxRecordsPerRequest) {
       known->second.pop_back();
     }
     known->second.push_back(std::move(aRecord));
     return;
   }
-  if (mOrder.size() >= mRequests) {
-    mRecords.erase(mOrder.front());
-    mOrder.pop_front();
+  if (mInsertionOrder.size() >= mMaxRequests) {
+    mRecords.erase(mInsertionOrder.front());
+    mInsertionOrder.pop_front();
   }
-  mOrder.push_back(aRequest);
+  mInsertionOrder.push_back(aRequest);
   mRecords[aRequest].push_back(std::move(aRecord));
 }
 
--- a/Libraries/LibDecision/Explain.h
+++ b/Libraries/LibDecision/Explain.h
@@ -62,10 +62,10 @@
 {
 public:
   static constexpr std::size_t kDefaultRequests = 4096;
-  static constexpr std::size_t kMostRecords = 32; ///< For one request.
+  static constexpr std::size_t kMaxRecordsPerRequest = 32; ///< For one request.
 
   explicit decision_log(std::size_t aRequests = kDefaultRequests)
-    : mRequests(aRequests)
+    : mMaxRequests(aRequests)
   {
   }
 
@@ -75,8 +75,8 @@
   std::size_t Size() const { return mRecords.size(); }
 
 private:
-  std::size_t mRequests;
-  std::deque<std::string> mOrder;
+  std::size_t mMaxRequests;
+  std::deque<std::string> mInsertionOrder;
   std::map<std::string, std::vector<decision_record>> mRecords;
 };
 
--- a/Libraries/LibDecision/Limits.h
+++ b/Libraries/LibDecision/Limits.h
@@ -16,7 +16,7 @@
 struct token_bucket
 {
   double mLevel = 0;
-  time_point mFilled{};
+  time_point mRefilledAt{};
   bool mStarted = false;
 
   bool operator==(const token_bucket&) const = default;
@@ -43,13 +43,13 @@
 struct demand_meter
 {
   double mRate = 0;
-  time_point mSeen{};
+  time_point mUpdatedAt{};
 
   bool operator==(const demand_meter&) const = default;
 };
 
 void
-NoteDemand(demand_meter& aMeter, double aAmount, time_point aNow);
+RecordDemand(demand_meter& aMeter, double aAmount, time_point aNow);
 double
 DemandAt(const demand_meter& aMeter, time_point aNow);
 
--- a/Libraries/LibDecision/PrefixCache.cpp
+++ b/Libraries/LibDecision/PrefixCache.cpp
@@ -3,14 +3,14 @@
 namespace primrose {
 
 tokens
-prefix_cache::Held(const std::vector<std::uint64_t>& aMarks) const
+prefix_cache::CachedTokens(const std::vector<std::uint64_t>& aMarks) const
 {
   tokens held = 0;
   for (std::size_t i = 0; i < aMarks.size(); ++i) {
     if (!mIndex.contains(aMarks[i])) {
       break;
     }
-    held = MarkLength(i);
+    held = PrefixLength(i);
   }
   return held;
 }
@@ -23,13 +23,13 @@
   for (std::size_t i = aMarks.size(); i-- > 0;) {
     const auto known = mIndex.find(aMarks[i]);
     if (known != mIndex.end()) {
-      mOrder.splice(mOrder.begin(), mOrder, known->second);
+      mRecency.splice(mRecency.begin(), mRecency, known->second);
       continue;
     }
-    const tokens shorter = i == 0 ? 0 : MarkLength(i - 1);
-    mOrder.push_front({ aMarks[i], MarkLength(i) - shorter });
-    mIndex.emplace(aMarks[i], mOrder.begin());
-    mUsed += mOrder.front().mTokens;
+    const tokens shorter = i == 0 ? 0 : PrefixLength(i - 1);
+    mRecency.push_front({ aMarks[i], PrefixLength(i) - shorter });
+    mIndex.emplace(aMarks[i], mRecency.begin());
+    mUsed += mRecency.front().mTokens;
   }
   Evict();
 }
@@ -42,14 +42,14 @@
     return;
   }
   mUsed -= known->second->mTokens;
-  mOrder.erase(known->second);
+  mRecency.erase(known->second);
   mIndex.erase(known);
 }
 
 void
 prefix_cache::Clear()
 {
-  mOrder.clear();
+  mRecency.clear();
   mIndex.clear();
   mUsed = 0;
 }
@@ -64,8 +64,8 @@
 void
 prefix_cache::Evict()
 {
-  while (mUsed > mCapacity && !mOrder.empty()) {
-    Erase(mOrder.back().mMark);
+  while (mUsed > mCapacity && !mRecency.empty()) {
+    Erase(mRecency.back().mPrefixHash);
   }
 }
 
