--- a/Tests/Unit/ClaimsTest.cpp
+++ b/Tests/Unit/ClaimsTest.cpp
@@ -228,11 +228,11 @@
 {
   CPPUNIT_TEST_SUITE(claims_test);
   CPPUNIT_TEST(LostAnswerIsReadBack);
-  CPPUNIT_TEST(SecondAgentMeetsTheRow);
-  CPPUNIT_TEST(PausedHolderDoesNotRun);
-  CPPUNIT_TEST(GivenUpClaimIsTakenOver);
-  CPPUNIT_TEST(WritesFollowTimeNotCalls);
-  CPPUNIT_TEST(AnyHistoryRunsAKeyOnce);
+  CPPUNIT_TEST(SecondAgentFindsKeyTaken);
+  CPPUNIT_TEST(ClaimPastDeadlineDoesNotRun);
+  CPPUNIT_TEST(AbandonedClaimIsReplaced);
+  CPPUNIT_TEST(WritesAreBatchedOverTime);
+  CPPUNIT_TEST(NoKeyRunsTwice);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -255,7 +255,7 @@
     CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(60000)));
   }
 
-  void SecondAgentMeetsTheRow()
+  void SecondAgentFindsKeyTaken()
   {
     random_engine random(1);
     claim_registry first;
@@ -279,7 +279,7 @@
   /// Symptom: a call runs after its caller was told that it did not.
   /// Sequence: the claim is held; the agent is paused past the deadline.
   /// Cause: running on the belief from before the pause.
-  void PausedHolderDoesNotRun()
+  void ClaimPastDeadlineDoesNotRun()
   {
     random_engine random(1);
     claim_registry board;
@@ -294,7 +294,7 @@
   /// Sequence: the claim's write is slow, the call is given up, the write
   /// lands, the caller repeats.
   /// Cause: forgetting that the attempt in the row was given up here.
-  void GivenUpClaimIsTakenOver()
+  void AbandonedClaimIsReplaced()
   {
     random_engine random(1);
     claim_registry board;
@@ -317,7 +317,7 @@
     CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(10000)));
   }
 
-  void WritesFollowTimeNotCalls()
+  void WritesAreBatchedOverTime()
   {
     random_engine random(1);
     claim_registry board;
@@ -336,7 +336,7 @@
 
   /// Whatever is lost, delayed, paused, restarted or given up: no key runs
   /// twice, and nothing runs whose caller was told that it did not.
-  void AnyHistoryRunsAKeyOnce()
+  void NoKeyRunsTwice()
   {
     const bool held = rc::check("claims", []() {
       system_under_test system;
--- a/Tests/Unit/DecisionTest.cpp
+++ b/Tests/Unit/DecisionTest.cpp
@@ -40,20 +40,20 @@
 class decision_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(decision_test);
-  CPPUNIT_TEST(LeavingSurvivesALaggingList);
-  CPPUNIT_TEST(OneLostAnswerIsForgiven);
-  CPPUNIT_TEST(AllAvoidedAreStillAsked);
-  CPPUNIT_TEST(StreamPassesOnlyTheNextChunk);
-  CPPUNIT_TEST(AnyArrivalOrderNeverDeliversTwice);
+  CPPUNIT_TEST(ReportedLeavingOverridesLaggingList);
+  CPPUNIT_TEST(OneFailureIsTolerated);
+  CPPUNIT_TEST(AllAvoidedEndpointsRemainUsable);
+  CPPUNIT_TEST(OnlyTheNextChunkIsDelivered);
+  CPPUNIT_TEST(NoChunkIsDeliveredTwice);
   CPPUNIT_TEST(RetriesAreBounded);
-  CPPUNIT_TEST(BucketGivesItsRate);
+  CPPUNIT_TEST(TokenBucketKeepsItsRate);
   CPPUNIT_TEST(SharesAddUpToTheLimit);
   CPPUNIT_TEST(GroupsHoldTheWholePrompt);
   CPPUNIT_TEST(ProbesAreDistinctAndInRange);
   CPPUNIT_TEST(RefusedCandidatesAreNotRanked);
-  CPPUNIT_TEST(FrontFollowsTheWaits);
-  CPPUNIT_TEST(ExplainKeepsTheLatest);
-  CPPUNIT_TEST(CacheHoldsWhatItsMemoryAllows);
+  CPPUNIT_TEST(LongPoolFollowsWaitingTimes);
+  CPPUNIT_TEST(DecisionLogKeepsTheLatest);
+  CPPUNIT_TEST(CacheStaysWithinItsMemory);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -61,7 +61,7 @@
   /// Sequence: the agent says it leaves; the platform's list, which lags,
   /// still calls it live.
   /// Cause: taking the list for newer than the agent's own word.
-  void LeavingSurvivesALaggingList()
+  void ReportedLeavingOverridesLaggingList()
   {
     endpoint_directory directory;
     ApplyList(directory, { Listed("a"), Listed("b") }, kStart);
@@ -73,7 +73,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), usable[0]->mListed.mName);
   }
 
-  void OneLostAnswerIsForgiven()
+  void OneFailureIsTolerated()
   {
     random_engine random(1);
     endpoint_directory directory;
@@ -89,7 +89,7 @@
   /// Symptom: an entry refuses everything though the fleet is well.
   /// Sequence: the entry's own network fails for a moment.
   /// Cause: believing that every endpoint is down.
-  void AllAvoidedAreStillAsked()
+  void AllAvoidedEndpointsRemainUsable()
   {
     random_engine random(1);
     endpoint_directory directory;
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Usable(directory, "m", kStart).size());
   }
 
-  void StreamPassesOnlyTheNextChunk()
+  void OnlyTheNextChunkIsDelivered()
   {
     stream_cursor cursor{ "a2", 0 };
     CPPUNIT_ASSERT(AcceptChunk(cursor, "a1", 0) == chunk_verdict::Stale);
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(IsCompleteAnswer(cursor, "a2", 1));
   }
 
-  void AnyArrivalOrderNeverDeliversTwice()
+  void NoChunkIsDeliveredTwice()
   {
     const bool held = rc::check("stream", []() {
       stream_cursor cursor{ "a1", 0 };
@@ -155,7 +155,7 @@
     }
   }
 
-  void BucketGivesItsRate()
+  void TokenBucketKeepsItsRate()
   {
     token_bucket bucket;
     double taken = 0;
@@ -244,7 +244,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), ranked[0].mIndex);
   }
 
-  void FrontFollowsTheWaits()
+  void LongPoolFollowsWaitingTimes()
   {
     placement_state memory;
     placement_rules rules;
@@ -270,7 +270,7 @@
     CPPUNIT_ASSERT(memory.mLongPoolSize < 20);
   }
 
-  void ExplainKeepsTheLatest()
+  void DecisionLogKeepsTheLatest()
   {
     decision_log log(2);
     for (const char* const request : { "r1", "r2", "r3" }) {
@@ -286,7 +286,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("99"), log.Find("r3")->back().mText);
   }
 
-  void CacheHoldsWhatItsMemoryAllows()
+  void CacheStaysWithinItsMemory()
   {
     prefix_cache cache(4096);
     cache.Insert({ 1, 2, 3 });
--- a/Tests/Unit/SchedulerTest.cpp
+++ b/Tests/Unit/SchedulerTest.cpp
@@ -40,20 +40,20 @@
 class scheduler_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(scheduler_test);
-  CPPUNIT_TEST(ReleaseGivesAllMemoryBack);
-  CPPUNIT_TEST(LapsedLeaseFreesAndCannotStart);
-  CPPUNIT_TEST(PausedHolderDoesNotStart);
-  CPPUNIT_TEST(LongPromptsLeaveRoomForShort);
-  CPPUNIT_TEST(ShortStreamDoesNotStarveLong);
-  CPPUNIT_TEST(GreedyOrganisationGetsItsShareOnly);
+  CPPUNIT_TEST(ReleaseFreesAllMemory);
+  CPPUNIT_TEST(ExpiredLeaseFreesMemoryAndBlocksStart);
+  CPPUNIT_TEST(ExpiredLeaseBlocksStartAfterPause);
+  CPPUNIT_TEST(LongPromptsLeaveMemoryForShort);
+  CPPUNIT_TEST(ShortRequestsDoNotStarveLongPrompt);
+  CPPUNIT_TEST(GreedyOrganisationGetsOnlyItsFairShare);
   CPPUNIT_TEST(WaitingRaisesPriority);
   CPPUNIT_TEST(DrainRefusesWaitingKeepsRunning);
-  CPPUNIT_TEST(RefusesWhatCannotMakeItsDeadline);
-  CPPUNIT_TEST(SameAttemptIsTakenOnce);
+  CPPUNIT_TEST(RefusesRequestThatWouldMissItsDeadline);
+  CPPUNIT_TEST(DuplicateAttemptIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ReleaseGivesAllMemoryBack()
+  void ReleaseFreesAllMemory()
   {
     agent_state board = Board();
     CPPUNIT_ASSERT(Reserve(board, Asked("a", 1000), kStart) == refusal::None);
@@ -67,7 +67,7 @@
   /// Symptom: an engine's memory stays reserved for an entry that died.
   /// Sequence: a reservation is granted, its entry dies, nobody releases it.
   /// Cause: a reservation without an end of its own.
-  void LapsedLeaseFreesAndCannotStart()
+  void ExpiredLeaseFreesMemoryAndBlocksStart()
   {
     agent_state board = Board();
     Reserve(board, Asked("a", 1000), kStart);
@@ -84,7 +84,7 @@
   /// Sequence: granted; the process is paused past the lease; it resumes with
   /// the start before any timer has run.
   /// Cause: trusting the state from before the pause.
-  void PausedHolderDoesNotStart()
+  void ExpiredLeaseBlocksStartAfterPause()
   {
     agent_state board = Board();
     Reserve(board, Asked("a", 1000), kStart);
@@ -97,7 +97,7 @@
   /// Symptom: the first token of short prompts takes seconds.
   /// Sequence: long prompts fill an engine's memory; a short one comes.
   /// Cause: memory given to whoever comes first.
-  void LongPromptsLeaveRoomForShort()
+  void LongPromptsLeaveMemoryForShort()
   {
     agent_state board = Board();
     for (int i = 0; i < 8; ++i) {
@@ -115,7 +115,7 @@
   /// Sequence: short work fills the memory; a long prompt waits; each short
   /// one that ends is followed by another.
   /// Cause: freed memory always given to the one that fits.
-  void ShortStreamDoesNotStarveLong()
+  void ShortRequestsDoNotStarveLongPrompt()
   {
     agent_limits limits;
     limits.mEngineQueueSeconds = 1e9;
@@ -143,7 +143,7 @@
     CPPUNIT_ASSERT(granted);
   }
 
-  void GreedyOrganisationGetsItsShareOnly()
+  void GreedyOrganisationGetsOnlyItsFairShare()
   {
     agent_limits limits;
     limits.mEngineQueueSeconds = 0;
@@ -194,7 +194,7 @@
                    refusal::Leaving);
   }
 
-  void RefusesWhatCannotMakeItsDeadline()
+  void RefusesRequestThatWouldMissItsDeadline()
   {
     agent_state board = Board();
     reservation hurried = Asked("a", 200000);
@@ -203,7 +203,7 @@
     CPPUNIT_ASSERT(board.mWork.empty());
   }
 
-  void SameAttemptIsTakenOnce()
+  void DuplicateAttemptIsRefused()
   {
     agent_state board = Board();
     Reserve(board, Asked("a", 10), kStart);
