--- a/Libraries/LibDecision/Admission.cpp
+++ b/Libraries/LibDecision/Admission.cpp
@@ -5,36 +5,39 @@
 namespace primrose {
 
 admission
-Admit(organisation_usage& aUse,
+Admit(organisation_usage& aUsage,
       const organisation_limits& aLimits,
       tokens aTokens,
       time_point aNow)
 {
   const double amount = static_cast<double>(aTokens);
-  RecordDemand(aUse.mDemand, amount, aNow);
+  RecordDemand(aUsage.mDemand, amount, aNow);
   const double concurrent = aLimits.mConcurrentTokens * aLimits.mEntryShare;
-  // One request always may be in flight: a limit smaller than a prompt would
+  // One request is always allowed: a limit smaller than its prompt would
   // otherwise refuse it for ever.
   const bool over =
-    aUse.mTokensInFlight > 0 && aUse.mTokensInFlight + amount > concurrent;
+    aUsage.mTokensInFlight > 0 && aUsage.mTokensInFlight + amount > concurrent;
   if (over) {
     constexpr double kRetrySeconds = 1;
     return { admission_verdict::OverConcurrency, kRetrySeconds };
   }
-  const std::optional<double> wait = TakeTokens(
-    aUse.mBucket, amount, aLimits.mTokensPerSecond * aLimits.mEntryShare, aNow);
+  const std::optional<double> wait =
+    TakeTokens(aUsage.mBucket,
+               amount,
+               aLimits.mTokensPerSecond * aLimits.mEntryShare,
+               aNow);
   if (wait) {
     return { admission_verdict::OverRate, *wait };
   }
-  aUse.mTokensInFlight += amount;
+  aUsage.mTokensInFlight += amount;
   return {};
 }
 
 void
-ReleaseAdmittedTokens(organisation_usage& aUse, tokens aTokens)
+ReleaseAdmittedTokens(organisation_usage& aUsage, tokens aTokens)
 {
-  aUse.mTokensInFlight =
-    std::max(0.0, aUse.mTokensInFlight - static_cast<double>(aTokens));
+  aUsage.mTokensInFlight =
+    std::max(0.0, aUsage.mTokensInFlight - static_cast<double>(aTokens));
 }
 
 } // namespace primrose
--- a/Libraries/LibDecision/Admission.h
+++ b/Libraries/LibDecision/Admission.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Whether an entry takes a request at all: the organisation's limits.
+/// Admission control of an entry: the rate and concurrency limits of
+/// organisations.
 
 #include "LibDecision/Limits.h"
 #include "LibDecision/RequestShape.h"
@@ -10,7 +11,7 @@
 
 namespace primrose {
 
-/// What an organisation uses at one entry.
+/// An organisation's usage at one entry.
 struct organisation_usage
 {
   token_bucket mBucket;
@@ -20,7 +21,8 @@
   bool operator==(const organisation_usage&) const = default;
 };
 
-/// The limits of an organisation over the whole fleet, and this entry's part.
+/// An organisation's limits over the whole fleet, and the share of them that
+/// this entry may use.
 struct organisation_limits
 {
   double mTokensPerSecond = 0;
@@ -45,15 +47,16 @@
   bool operator==(const admission&) const = default;
 };
 
-/// Decides and, where it admits, books the request's tokens.
+/// Decides about a request of `aTokens` and, if it is admitted, counts its
+/// tokens.
 admission
-Admit(organisation_usage& aUse,
+Admit(organisation_usage& aUsage,
       const organisation_limits& aLimits,
       tokens aTokens,
       time_point aNow);
 
-/// The request is over: its tokens are no longer in flight.
+/// Ends an admitted request: its tokens are no longer in flight.
 void
-ReleaseAdmittedTokens(organisation_usage& aUse, tokens aTokens);
+ReleaseAdmittedTokens(organisation_usage& aUsage, tokens aTokens);
 
 } // namespace primrose
--- a/Libraries/LibDecision/AgentState.cpp
+++ b/Libraries/LibDecision/AgentState.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Part of an engine's memory that idle prefixes may keep; running sequences
-/// push them out.
+/// Cached prefixes that no running sequence uses may take half of an engine's
+/// memory; running sequences evict them.
 constexpr tokens kCacheDivisor = 2;
 
 bool
@@ -18,10 +18,10 @@
 }
 
 std::vector<reservation_state*>
-PrefillOrder(agent_state& aBoard)
+PrefillOrder(agent_state& aState)
 {
   std::vector<reservation_state*> readers;
-  for (auto& [attempt, work] : aBoard.mWork) {
+  for (auto& [attempt, work] : aState.mWork) {
     if (work.mStage == reservation_stage::Prefilling &&
         work.mPrefillTokensLeft > 0) {
       readers.push_back(&work);
@@ -59,21 +59,21 @@
                const agent_limits& aLimits,
                time_point aNow)
 {
-  agent_state board;
-  board.mModel = aModel;
-  board.mShape = aShape;
-  board.mLimits = aLimits;
-  board.mCache = prefix_cache(aShape.mCapacity / kCacheDivisor);
-  board.mStarted = aNow;
-  board.mPrefillAdvancedAt = aNow;
-  return board;
+  agent_state state;
+  state.mModel = aModel;
+  state.mShape = aShape;
+  state.mLimits = aLimits;
+  state.mCache = prefix_cache(aShape.mCapacity / kCacheDivisor);
+  state.mStarted = aNow;
+  state.mPrefillAdvancedAt = aNow;
+  return state;
 }
 
 std::size_t
-RunningSequences(const agent_state& aBoard)
+RunningSequences(const agent_state& aState)
 {
   std::size_t running = 0;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const bool inBatch = work.mReservation.mRole != hold_role::Member;
     running += work.HoldsMemory() && inBatch ? 1 : 0;
   }
@@ -81,42 +81,42 @@
 }
 
 tokens
-FreeTokens(const agent_state& aBoard)
+FreeTokens(const agent_state& aState)
 {
-  return aBoard.mShape.mCapacity -
-         std::min(aBoard.mUsed, aBoard.mShape.mCapacity);
+  return aState.mShape.mCapacity -
+         std::min(aState.mUsed, aState.mShape.mCapacity);
 }
 
 double
-PrefillTokensLeft(const agent_state& aBoard, bool aLongOnly)
+PrefillTokensLeft(const agent_state& aState, bool aLongOnly)
 {
   double unread = 0;
-  for (const auto& [attempt, work] : aBoard.mWork) {
-    const bool counts = !aLongOnly || work.mReservation.mShape.mLong;
-    unread += HoldsPrefillWork(work) && counts ? work.mPrefillTokensLeft : 0;
+  for (const auto& [attempt, work] : aState.mWork) {
+    const bool isCounted = !aLongOnly || work.mReservation.mShape.mLong;
+    unread += HoldsPrefillWork(work) && isCounted ? work.mPrefillTokensLeft : 0;
   }
   return unread;
 }
 
 double
-PrefillRate(const agent_state& aBoard)
+PrefillRate(const agent_state& aState)
 {
-  const engine_shape& shape = aBoard.mShape;
+  const engine_shape& shape = aState.mShape;
   const double step =
-    StepSeconds(shape, RunningSequences(aBoard), shape.mChunk, aBoard.mUsed);
-  return static_cast<double>(shape.mChunk) / (step * aBoard.mPrefillSlowdown);
+    StepSeconds(shape, RunningSequences(aState), shape.mChunk, aState.mUsed);
+  return static_cast<double>(shape.mChunk) / (step * aState.mPrefillSlowdown);
 }
 
 void
-AdvancePrefill(agent_state& aBoard, time_point aNow)
+AdvancePrefill(agent_state& aState, time_point aNow)
 {
   double budget =
-    Seconds(aNow - aBoard.mPrefillAdvancedAt) * PrefillRate(aBoard);
-  aBoard.mPrefillAdvancedAt = aNow;
+    Seconds(aNow - aState.mPrefillAdvancedAt) * PrefillRate(aState);
+  aState.mPrefillAdvancedAt = aNow;
   if (budget <= 0) {
     return;
   }
-  for (reservation_state* const work : PrefillOrder(aBoard)) {
+  for (reservation_state* const work : PrefillOrder(aState)) {
     const double read = std::min(budget, work->mPrefillTokensLeft);
     work->mPrefillTokensLeft -= read;
     budget -= read;
--- a/Libraries/LibDecision/AgentState.h
+++ b/Libraries/LibDecision/AgentState.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The blackboard of an agent: all it knows of its engine and of the work
-/// reserved there. It is the truth about the endpoint; nobody else keeps one.
+/// The state of one agent: its model of its engine and every reservation on it.
+/// This state is authoritative for the endpoint; no other process keeps a copy
+/// that overrides it.
 
 #include "LibDecision/PrefixCache.h"
 #include "LibDecision/RequestShape.h"
@@ -12,7 +13,7 @@
 
 namespace primrose {
 
-/// What an engine can do. Seconds and tokens.
+/// Capacity and step time parameters of an engine, in seconds and tokens.
 struct engine_shape
 {
   tokens mCapacity = 400000;
@@ -26,8 +27,8 @@
   bool operator==(const engine_shape&) const = default;
 };
 
-/// One step's duration with so many sequences writing, tokens being read and
-/// tokens resident.
+/// Duration of one engine step that decodes `aSequences` sequences and reads
+/// `aRead` prompt tokens while `aResident` tokens are resident in memory.
 double
 StepSeconds(const engine_shape& aShape,
             std::size_t aSequences,
@@ -42,22 +43,22 @@
   hold_role mRole = hold_role::Whole;
   time_point mArrival;
   time_point mDeadline;
-  time_point mWaitUntil;
+  time_point mWaitUntil; ///< Removed from the queue if not granted by then.
   duration mLease{};
-  double mWeight = 1;
+  double mWeight = 1; ///< Fair-share weight of the organisation.
 
   bool operator==(const reservation&) const = default;
 };
 
 enum class reservation_stage : std::uint8_t
 {
-  Waiting,    ///< In the agent's queue; no memory is held.
-  Granted,    ///< Memory is held; the prompt has not come yet.
-  Prefilling, ///< Given to the engine; no token has come back.
-  Decoding,   ///< Tokens are coming.
+  Waiting,    ///< In the agent's queue; holds no memory.
+  Granted,    ///< Holds memory; the prompt has not arrived yet.
+  Prefilling, ///< Sent to the engine, which has returned no token yet.
+  Decoding,   ///< The engine returns tokens.
 };
 
-/// A reservation and where it stands.
+/// A reservation, its stage and its progress.
 struct reservation_state
 {
   reservation mReservation;
@@ -66,27 +67,33 @@
   time_point mGrantedAt;
   time_point mPrefillStartedAt;
   tokens mCachedTokens = 0;
-  double mPrefillTokensLeft = 0; ///< Prompt tokens believed not read yet.
-  double mPredictedPrefillSeconds =
-    0; ///< Seconds of reading, as foreseen at its start.
-  std::uint64_t mArrivalOrder = 0; ///< Order of arrival at this agent.
+  /// Estimated prompt tokens that the engine has not read yet.
+  double mPrefillTokensLeft = 0;
+  /// Duration of the prefill, estimated at its start.
+  double mPredictedPrefillSeconds = 0;
+  /// Order of arrival at this agent.
+  std::uint64_t mArrivalOrder = 0;
 
   bool operator==(const reservation_state&) const = default;
   bool HoldsMemory() const { return mStage != reservation_stage::Waiting; }
 };
 
-/// Tunable bounds of one agent; from the settings tree.
+/// Tunable limits of one agent. Some come from the settings tree (see
+/// `LimitsOf` in LibRules), the others keep these defaults.
 struct agent_limits
 {
   std::size_t mMaxQueueLength = 512;
+  /// Prompt tokens of long prompts that the engine may have to read at once.
   tokens mLongTokensAtOnce = 400000;
-  /// Part of the memory that long prompts may hold.
+  /// Part of the engine's memory that long prompts may hold together.
   double mLongMemoryPart = 0.75;
+  /// Waiting this long raises a request by one priority class.
   duration mAgeingInterval = std::chrono::seconds(20);
-  /// Prompt tokens given to the engine ahead of its reading, in seconds of
-  /// reading. What waits here can still be ordered, in the engine it cannot.
+  /// Short prompt tokens sent to the engine ahead of its prefill, expressed as
+  /// seconds of prefill. Work that waits in the agent can still be reordered,
+  /// work in the engine cannot.
   double mEngineQueueSeconds = 0.25;
-  /// A freshly started engine takes its full load only after this time.
+  /// A newly started engine takes its full load only after this time.
   duration mSlowStartDuration = std::chrono::seconds(10);
   bool mUseFairShares = true;
   bool mUsePriorities = true;
@@ -100,20 +107,23 @@
   agent_limits mLimits;
   std::string mModel;
   std::map<std::string, reservation_state> mWork; ///< By attempt.
-  tokens mUsed = 0; ///< Memory of all that hold some.
+  /// Memory tokens held by all reservations that are past `Waiting`.
+  tokens mUsed = 0;
   prefix_cache mCache;
   bool mLeaving = false;
   bool mEngineUp = true;
   time_point mStarted;
-  time_point
-    mPrefillAdvancedAt; ///< Until when `mPrefillTokensLeft` was worked out.
-  /// Fair shares: each organisation's tokens served, over its weight, and the
-  /// start tag of the last one served.
+  /// Time up to which `mPrefillTokensLeft` is calculated.
+  time_point mPrefillAdvancedAt;
+  /// Start-time fair queueing. For each organisation the finish tag of its last
+  /// grant: the start tag plus the granted tokens divided by its weight.
   std::map<std::string, double> mServed;
+  /// Start tag of the last reservation granted.
   double mVirtualTime = 0;
-  /// How much slower the engine reads than its shape says (measured).
+  /// Measured prefill time divided by the time that `mShape` predicts.
   double mPrefillSlowdown = 1;
-  double mMeanMemoryHoldSeconds = 5; ///< How long memory is held, on average.
+  /// Moving average of the time for which a reservation holds memory.
+  double mMeanMemoryHoldSeconds = 5;
   std::uint64_t mNextArrivalOrder = 0;
 };
 
@@ -123,22 +133,24 @@
                const agent_limits& aLimits,
                time_point aNow);
 
-/// Sequences that occupy a place in the engine's batch.
+/// Number of sequences that occupy a slot in the engine's batch.
 std::size_t
-RunningSequences(const agent_state& aBoard);
+RunningSequences(const agent_state& aState);
 tokens
-FreeTokens(const agent_state& aBoard);
-/// Unread tokens of all work that has memory, or only of the long prompts.
+FreeTokens(const agent_state& aState);
+/// Prompt tokens that the engine has still to read for all reservations that
+/// hold memory, or only for long prompts.
 double
-PrefillTokensLeft(const agent_state& aBoard, bool aLongOnly);
+PrefillTokensLeft(const agent_state& aState, bool aLongOnly);
 
 /// Lowers `mPrefillTokensLeft` by what the engine can have read since the last
 /// call.
 void
-AdvancePrefill(agent_state& aBoard, time_point aNow);
+AdvancePrefill(agent_state& aState, time_point aNow);
 
-/// The rate at which the engine reads prompts while it also writes.
+/// Estimated prompt tokens per second that the engine reads while it also
+/// decodes.
 double
-PrefillRate(const agent_state& aBoard);
+PrefillRate(const agent_state& aState);
 
 } // namespace primrose
--- a/Libraries/LibDecision/Claims.cpp
+++ b/Libraries/LibDecision/Claims.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// How long an attempt that was given up is remembered, so that its key can be
-/// claimed again here. After that a repeat is told that the outcome is not
-/// known, which is less than we knew but not untrue.
+/// How long the id of an abandoned attempt is kept, so that its key can be
+/// claimed again by this agent. After that a repeated call gets "outcome
+/// unknown", which is less than the agent once had on record but still correct.
 constexpr duration kAbandonedRetention = std::chrono::hours(1);
 constexpr duration kStoreBackoffBase = std::chrono::milliseconds(50);
 
 claim_row
-ClaimRowFor(const claim_registry& aBoard, const claim& aClaim)
+ClaimRowFor(const claim_registry& aRegistry, const claim& aClaim)
 {
   claim_row row;
   row.mAttempt = aClaim.mAttempt;
-  row.mAgent = aBoard.mAgent;
+  row.mAgent = aRegistry.mAgent;
   row.mRequestHash = aClaim.mRequestHash;
   row.mExpiresAtMs = aClaim.mExpiresAtMs;
   return row;
@@ -40,22 +40,23 @@
 }
 
 void
-PruneAbandonedAttempts(claim_registry& aBoard, time_point aNow)
+PruneAbandonedAttempts(claim_registry& aRegistry, time_point aNow)
 {
-  std::erase_if(aBoard.mAbandonedAttempts,
+  std::erase_if(aRegistry.mAbandonedAttempts,
                 [&](const auto& aItem) { return aItem.second <= aNow; });
 }
 
-/// What a row that was read back means for the claim on its key.
+/// Sets the stage of a claim from the row that was read back for its key.
 void
-ResolveClaim(claim_registry& aBoard,
+ResolveClaim(claim_registry& aRegistry,
              claim& aClaim,
              const claim_row* aRow,
              time_point aNow)
 {
   if (aRow == nullptr) {
-    // Not there. Our transaction may still be on its way to the store, but
-    // sending it again is harmless: whichever comes first carries our id.
+    // There is no row. The transaction may still reach the store later, but
+    // sending the row again is harmless: either write carries this attempt's
+    // id.
     aClaim.mStage = claim_stage::Queued;
     aClaim.mReplacesAttempt.clear();
     return;
@@ -64,7 +65,7 @@
     aClaim.mStage = claim_stage::Held;
     return;
   }
-  if (!aRow->mDone && aBoard.mAbandonedAttempts.contains(aRow->mAttempt)) {
+  if (!aRow->mDone && aRegistry.mAbandonedAttempts.contains(aRow->mAttempt)) {
     aClaim.mStage = claim_stage::Queued;
     aClaim.mReplacesAttempt = aRow->mAttempt;
     aClaim.mNotBefore = aNow;
@@ -77,69 +78,69 @@
 } // namespace
 
 void
-QueueClaim(claim_registry& aBoard,
+QueueClaim(claim_registry& aRegistry,
            const std::string& aKey,
            const std::string& aAttempt,
            std::uint64_t aRequestHash,
            time_point aDeadline,
            time_point aNow,
-           wall_time aWall)
+           wall_time aWallNow)
 {
-  claim wanted;
-  wanted.mKey = aKey;
-  wanted.mAttempt = aAttempt;
-  wanted.mRequestHash = aRequestHash;
-  wanted.mDeadline = aDeadline;
-  wanted.mExpiresAtMs =
-    aWall.time_since_epoch().count() + Milliseconds(aDeadline - aNow);
-  wanted.mNotBefore = aNow;
-  aBoard.mClaims.emplace(aAttempt, std::move(wanted));
+  claim newClaim;
+  newClaim.mKey = aKey;
+  newClaim.mAttempt = aAttempt;
+  newClaim.mRequestHash = aRequestHash;
+  newClaim.mDeadline = aDeadline;
+  newClaim.mExpiresAtMs =
+    aWallNow.time_since_epoch().count() + Milliseconds(aDeadline - aNow);
+  newClaim.mNotBefore = aNow;
+  aRegistry.mClaims.emplace(aAttempt, std::move(newClaim));
 }
 
 std::vector<claim_write>
-TakeWrites(claim_registry& aBoard, time_point aNow)
+TakeWrites(claim_registry& aRegistry, time_point aNow)
 {
   std::vector<claim_write> writes;
-  if (aBoard.mWriteInFlight || aNow < aBoard.mNextWrite) {
+  if (aRegistry.mWriteInFlight || aNow < aRegistry.mNextWrite) {
     return writes;
   }
-  PruneAbandonedAttempts(aBoard, aNow);
-  // One transaction may not name a key twice; of two claims on one key the
-  // second waits and then meets the first one's row.
-  std::map<std::string, bool> named;
-  for (const claim_write& result : aBoard.mResults) {
+  PruneAbandonedAttempts(aRegistry, aNow);
+  // A transaction may name a key only once. Of two claims on one key the second
+  // waits for a later transaction and then conflicts with the first one's row.
+  std::map<std::string, bool> usedKeys;
+  for (const claim_write& result : aRegistry.mResults) {
     if (writes.size() < kMaxRowsPerTransaction &&
-        named.emplace(result.mKey, true).second) {
+        usedKeys.emplace(result.mKey, true).second) {
       writes.push_back(result);
     }
   }
-  aBoard.mResultsInFlight = writes;
-  for (auto& [attempt, claim] : aBoard.mClaims) {
+  aRegistry.mResultsInFlight = writes;
+  for (auto& [attempt, claim] : aRegistry.mClaims) {
     if (writes.size() >= kMaxRowsPerTransaction) {
       break;
     }
     if (IsDue(claim, claim_stage::Queued, aNow) &&
-        named.emplace(claim.mKey, true).second) {
+        usedKeys.emplace(claim.mKey, true).second) {
       claim.mStage = claim_stage::WriteInFlight;
       writes.push_back(
-        { claim.mKey, ClaimRowFor(aBoard, claim), claim.mReplacesAttempt });
+        { claim.mKey, ClaimRowFor(aRegistry, claim), claim.mReplacesAttempt });
     }
   }
   if (!writes.empty()) {
-    aBoard.mWriteInFlight = true;
-    aBoard.mNextWrite = aNow + kMinWriteInterval;
+    aRegistry.mWriteInFlight = true;
+    aRegistry.mNextWrite = aNow + kMinWriteInterval;
   }
   return writes;
 }
 
 std::vector<std::string>
-TakeReads(claim_registry& aBoard, time_point aNow)
+TakeReads(claim_registry& aRegistry, time_point aNow)
 {
   std::vector<std::string> keys;
-  if (aBoard.mReadInFlight) {
+  if (aRegistry.mReadInFlight) {
     return keys;
   }
-  for (auto& [attempt, claim] : aBoard.mClaims) {
+  for (auto& [attempt, claim] : aRegistry.mClaims) {
     if (keys.size() < kMaxRowsPerTransaction &&
         IsDue(claim, claim_stage::WriteOutcomeUnknown, aNow)) {
       claim.mStage = claim_stage::ReadInFlight;
@@ -148,45 +149,46 @@
   }
   std::sort(keys.begin(), keys.end());
   keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
-  aBoard.mReadInFlight = !keys.empty();
+  aRegistry.mReadInFlight = !keys.empty();
   return keys;
 }
 
 namespace {
 
 void
-ResolveResults(claim_registry& aBoard,
+ResolveResults(claim_registry& aRegistry,
                write_outcome aOutcome,
                const std::vector<std::string>& aConflicts)
 {
-  for (const claim_write& sent : aBoard.mResultsInFlight) {
-    const bool inTheWay =
-      std::find(aConflicts.begin(), aConflicts.end(), sent.mKey) !=
+  for (const claim_write& write : aRegistry.mResultsInFlight) {
+    const bool isConflict =
+      std::find(aConflicts.begin(), aConflicts.end(), write.mKey) !=
       aConflicts.end();
-    // A result that was lost is written again: its row is replaced only while
-    // it carries our attempt, so writing it twice changes nothing. One whose
-    // row is no longer ours has been written already or has no place.
-    const bool settled = aOutcome == write_outcome::Committed ||
-                         (aOutcome == write_outcome::Conflict && inTheWay);
-    if (settled) {
-      std::erase(aBoard.mResults, sent);
+    // A result whose write got no answer is written again: its row is replaced
+    // only while it carries this attempt's id, so a second write changes
+    // nothing. A result that conflicts has been written already, or its row
+    // belongs to another attempt; it is dropped.
+    const bool isResolved = aOutcome == write_outcome::Committed ||
+                            (aOutcome == write_outcome::Conflict && isConflict);
+    if (isResolved) {
+      std::erase(aRegistry.mResults, write);
     }
   }
-  aBoard.mResultsInFlight.clear();
+  aRegistry.mResultsInFlight.clear();
 }
 
 } // namespace
 
 void
-RecordWriteOutcome(claim_registry& aBoard,
+RecordWriteOutcome(claim_registry& aRegistry,
                    write_outcome aOutcome,
                    const std::vector<std::string>& aConflicts,
                    time_point aNow,
                    random_engine& aRandom)
 {
-  aBoard.mWriteInFlight = false;
-  ResolveResults(aBoard, aOutcome, aConflicts);
-  for (auto& [attempt, claim] : aBoard.mClaims) {
+  aRegistry.mWriteInFlight = false;
+  ResolveResults(aRegistry, aOutcome, aConflicts);
+  for (auto& [attempt, claim] : aRegistry.mClaims) {
     if (claim.mStage != claim_stage::WriteInFlight) {
       continue;
     }
@@ -194,10 +196,10 @@
       claim.mStage = claim_stage::Held;
       continue;
     }
-    const bool inTheWay =
+    const bool isConflict =
       std::find(aConflicts.begin(), aConflicts.end(), claim.mKey) !=
       aConflicts.end();
-    if (aOutcome == write_outcome::Conflict && !inTheWay) {
+    if (aOutcome == write_outcome::Conflict && !isConflict) {
       claim.mStage = claim_stage::Queued;
       continue;
     }
@@ -207,20 +209,20 @@
     }
   }
   if (aOutcome == write_outcome::Lost) {
-    aBoard.mNextWrite =
+    aRegistry.mNextWrite =
       aNow +
       std::max(kMinWriteInterval, RetryBackoff(2, kStoreBackoffBase, aRandom));
   }
 }
 
 void
-RecordReadBack(claim_registry& aBoard,
+RecordReadBack(claim_registry& aRegistry,
                const std::optional<std::map<std::string, claim_row>>& aRows,
                time_point aNow,
                random_engine& aRandom)
 {
-  aBoard.mReadInFlight = false;
-  for (auto& [attempt, claim] : aBoard.mClaims) {
+  aRegistry.mReadInFlight = false;
+  for (auto& [attempt, claim] : aRegistry.mClaims) {
     if (claim.mStage != claim_stage::ReadInFlight) {
       continue;
     }
@@ -231,17 +233,17 @@
     }
     const auto row = aRows->find(claim.mKey);
     ResolveClaim(
-      aBoard, claim, row == aRows->end() ? nullptr : &row->second, aNow);
+      aRegistry, claim, row == aRows->end() ? nullptr : &row->second, aNow);
   }
 }
 
 bool
-BeginExecution(claim_registry& aBoard,
+BeginExecution(claim_registry& aRegistry,
                const std::string& aAttempt,
                time_point aNow)
 {
-  const auto found = aBoard.mClaims.find(aAttempt);
-  if (found == aBoard.mClaims.end() ||
+  const auto found = aRegistry.mClaims.find(aAttempt);
+  if (found == aRegistry.mClaims.end() ||
       found->second.mStage != claim_stage::Held ||
       aNow >= found->second.mDeadline) {
     return false;
@@ -251,70 +253,71 @@
 }
 
 void
-RecordExecution(claim_registry& aBoard,
+RecordExecution(claim_registry& aRegistry,
                 const std::string& aAttempt,
                 claim_row aOutcome)
 {
-  const auto found = aBoard.mClaims.find(aAttempt);
-  if (found == aBoard.mClaims.end()) {
+  const auto found = aRegistry.mClaims.find(aAttempt);
+  if (found == aRegistry.mClaims.end()) {
     return;
   }
-  claim_row row = ClaimRowFor(aBoard, found->second);
+  claim_row row = ClaimRowFor(aRegistry, found->second);
   row.mDone = true;
   row.mStatus = aOutcome.mStatus;
   row.mContentType = std::move(aOutcome.mContentType);
   row.mBody = std::move(aOutcome.mBody);
-  aBoard.mResults.push_back({ found->second.mKey, std::move(row), aAttempt });
-  aBoard.mClaims.erase(found);
+  aRegistry.mResults.push_back(
+    { found->second.mKey, std::move(row), aAttempt });
+  aRegistry.mClaims.erase(found);
 }
 
 bool
-GiveUp(claim_registry& aBoard, const std::string& aAttempt, time_point aNow)
+GiveUp(claim_registry& aRegistry, const std::string& aAttempt, time_point aNow)
 {
-  const auto found = aBoard.mClaims.find(aAttempt);
-  if (found == aBoard.mClaims.end()) {
-    return aBoard.mAbandonedAttempts.contains(aAttempt);
+  const auto found = aRegistry.mClaims.find(aAttempt);
+  if (found == aRegistry.mClaims.end()) {
+    return aRegistry.mAbandonedAttempts.contains(aAttempt);
   }
   if (found->second.mStage == claim_stage::Running) {
     return false;
   }
-  aBoard.mAbandonedAttempts.insert_or_assign(aAttempt,
-                                             aNow + kAbandonedRetention);
-  aBoard.mClaims.erase(found);
+  aRegistry.mAbandonedAttempts.insert_or_assign(aAttempt,
+                                                aNow + kAbandonedRetention);
+  aRegistry.mClaims.erase(found);
   return true;
 }
 
 const claim*
-FindClaim(const claim_registry& aBoard, const std::string& aAttempt)
+FindClaim(const claim_registry& aRegistry, const std::string& aAttempt)
 {
-  const auto found = aBoard.mClaims.find(aAttempt);
-  return found == aBoard.mClaims.end() ? nullptr : &found->second;
+  const auto found = aRegistry.mClaims.find(aAttempt);
+  return found == aRegistry.mClaims.end() ? nullptr : &found->second;
 }
 
 void
-DropClaim(claim_registry& aBoard, const std::string& aAttempt)
+DropClaim(claim_registry& aRegistry, const std::string& aAttempt)
 {
-  aBoard.mClaims.erase(aAttempt);
+  aRegistry.mClaims.erase(aAttempt);
 }
 
 std::optional<time_point>
-NextStoreRequestTime(const claim_registry& aBoard)
+NextStoreRequestTime(const claim_registry& aRegistry)
 {
   std::optional<time_point> next;
   const auto consider = [&next](time_point aTime) {
     next = next ? std::min(*next, aTime) : aTime;
   };
-  for (const auto& [attempt, claim] : aBoard.mClaims) {
-    if (claim.mStage == claim_stage::Queued && !aBoard.mWriteInFlight) {
-      consider(std::max(claim.mNotBefore, aBoard.mNextWrite));
+  for (const auto& [attempt, claim] : aRegistry.mClaims) {
+    if (claim.mStage == claim_stage::Queued && !aRegistry.mWriteInFlight) {
+      consider(std::max(claim.mNotBefore, aRegistry.mNextWrite));
     }
     if (claim.mStage == claim_stage::WriteOutcomeUnknown &&
-        !aBoard.mReadInFlight) {
+        !aRegistry.mReadInFlight) {
       consider(claim.mNotBefore);
     }
   }
-  if (!aBoard.mResults.empty() && !aBoard.mWriteInFlight) {
-    consider(aBoard.mNextWrite);
+  if (!aRegistry.mResults.empty() && !aRegistry.mWriteInFlight) {
+    consider(aRegistry.mNextWrite);
   }
   return next;
 }
--- a/Libraries/LibDecision/Claims.h
+++ b/Libraries/LibDecision/Claims.h
@@ -1,13 +1,15 @@
 #pragma once
 
-/// Guarded calls at most once. Before a call runs, its key is claimed by a row
-/// in the platform's table, inserted only if absent, that carries the
-/// attempt's id. All claims of an agent that are waiting go in one transaction
-/// (group commit), so the store's writes follow agents and time, not calls.
+/// At-most-once execution of guarded calls. Before a call runs, the agent
+/// claims its idempotency key with a row in the platform's table: the row is
+/// inserted only if absent and carries the attempt's id. All pending claims of
+/// an agent go into one transaction (group commit), so the number of store
+/// writes depends on agents and time, not on calls.
 ///
-/// The store's answer can be lost after the write took effect. A claim is then
-/// unsure: it is neither run nor given up, but its row is read back, and the
-/// attempt's id in it tells whose it is. Only `Held` may run.
+/// The answer of the store can be lost after the write took effect. The outcome
+/// of the claim is then unknown: the call is neither run nor abandoned, but the
+/// row is read back, and the attempt id in it shows which attempt owns the key.
+/// Only a claim in stage `Held` may run.
 
 #include "LibCore/LibCore.h"
 
@@ -18,13 +20,14 @@
 
 namespace primrose {
 
-/// What a claim row says about a key. Kept in the platform's table.
+/// A claim row of one key, as stored in the platform's table.
 struct claim_row
 {
   std::string mAttempt;
   std::string mAgent;
   std::uint64_t mRequestHash = 0;
-  /// Wall time, in milliseconds, after which the attempt cannot run any more.
+  /// Wall clock time in milliseconds after which the attempt cannot run any
+  /// more.
   std::int64_t mExpiresAtMs = 0;
   bool mDone = false;
   unsigned mStatus = 0;
@@ -37,14 +40,14 @@
 enum class claim_stage : std::uint8_t
 {
   Queued,              ///< Waits for the next transaction.
-  WriteInFlight,       ///< In the transaction that is on its way.
-  WriteOutcomeUnknown, ///< That transaction's answer was lost; must be read
-                       ///< back.
-  ReadInFlight,        ///< The read is on its way.
-  Held,                ///< Ours: may run, once.
+  WriteInFlight,       ///< In the transaction in flight.
+  WriteOutcomeUnknown, ///< The transaction's answer was lost or named a
+                       ///< conflict; the row must be read back.
+  ReadInFlight,        ///< The read-back is in flight.
+  Held,                ///< This attempt owns the key and may run once.
   Running,
-  Taken,     ///< Another attempt has the key; `mRow` tells more.
-  Abandoned, ///< Never run and never to be run; the caller was told so.
+  Taken,     ///< Another attempt owns the key; see `mRow`.
+  Abandoned, ///< Never run and never to be run; the caller got this answer.
 };
 
 struct claim
@@ -53,13 +56,14 @@
   std::string mAttempt;
   std::uint64_t mRequestHash = 0;
   time_point mDeadline;
-  std::int64_t mExpiresAtMs = 0; ///< The deadline as wall time.
+  std::int64_t mExpiresAtMs = 0; ///< The deadline as wall clock time.
   claim_stage mStage = claim_stage::Queued;
   std::optional<claim_row> mRow;
-  time_point mNotBefore; ///< Pause before the store is asked again.
+  /// No store request for this claim before this time (back-off).
+  time_point mNotBefore;
   unsigned mStoreFailures = 0;
-  /// Our own row of an attempt that was given up stands in the way: it is
-  /// replaced if it still carries this attempt.
+  /// Attempt id of an abandoned attempt of this agent whose row holds the key.
+  /// The row is replaced if it still carries this id.
   std::string mReplacesAttempt;
 
   bool operator==(const claim&) const = default;
@@ -81,83 +85,85 @@
   std::string mAgent;
   std::map<std::string, claim> mClaims; ///< By attempt.
   std::vector<claim_write> mResults;    ///< Outcomes to be written.
-  std::map<std::string, time_point>
-    mAbandonedAttempts; ///< Attempts never run, and until when remembered.
+  /// Attempts that never ran, and until when they are kept.
+  std::map<std::string, time_point> mAbandonedAttempts;
   bool mWriteInFlight = false;
   bool mReadInFlight = false;
   std::vector<claim_write> mResultsInFlight;
   time_point mNextWrite;
 };
 
-/// Rows in one transaction at the most; the platform bounds them.
+/// Maximum number of rows in one transaction; the platform limits it.
 inline constexpr std::size_t kMaxRowsPerTransaction = 100;
-/// The shortest time between two transactions of an agent.
+/// Minimum interval between two transactions of an agent.
 inline constexpr duration kMinWriteInterval = std::chrono::milliseconds(20);
 
-/// A guarded call wants its key.
+/// Queues a claim on the key of a guarded call.
 void
-QueueClaim(claim_registry& aBoard,
+QueueClaim(claim_registry& aRegistry,
            const std::string& aKey,
            const std::string& aAttempt,
            std::uint64_t aRequestHash,
            time_point aDeadline,
            time_point aNow,
-           wall_time aWall);
+           wall_time aWallNow);
 
-/// The rows of the next transaction, if one is due. Marks them as sent.
+/// The rows of the next transaction if one is due; marks their claims as in
+/// flight.
 std::vector<claim_write>
-TakeWrites(claim_registry& aBoard, time_point aNow);
-/// The keys to read back, if any. Marks them as being read.
+TakeWrites(claim_registry& aRegistry, time_point aNow);
+/// The keys to read back, if any; marks their claims as being read.
 std::vector<std::string>
-TakeReads(claim_registry& aBoard, time_point aNow);
+TakeReads(claim_registry& aRegistry, time_point aNow);
 
 enum class write_outcome : std::uint8_t
 {
   Committed,
-  Conflict, ///< Nothing was written; the keys in the way are named.
-  Lost,     ///< No answer: it may or may not have taken effect.
+  Conflict, ///< Nothing was written; the conflicting keys are listed.
+  Lost,     ///< No answer: the write may or may not have taken effect.
 };
 
 void
-RecordWriteOutcome(claim_registry& aBoard,
+RecordWriteOutcome(claim_registry& aRegistry,
                    write_outcome aOutcome,
                    const std::vector<std::string>& aConflicts,
                    time_point aNow,
                    random_engine& aRandom);
 
-/// The rows read back; a key without a row is absent from the map. No value:
-/// the read failed and is tried again.
+/// Handles the rows that were read back; a key without a row is absent from the
+/// map. `std::nullopt`: the read failed and is retried.
 void
-RecordReadBack(claim_registry& aBoard,
+RecordReadBack(claim_registry& aRegistry,
                const std::optional<std::map<std::string, claim_row>>& aRows,
                time_point aNow,
                random_engine& aRandom);
 
-/// The last look before the call is sent. True exactly once for a held claim
-/// whose deadline has not passed.
+/// The last check before the call is sent. Returns true exactly once for a held
+/// claim whose deadline has not passed.
 bool
-BeginExecution(claim_registry& aBoard,
+BeginExecution(claim_registry& aRegistry,
                const std::string& aAttempt,
                time_point aNow);
 
-/// The call ended: its answer is kept for repeats.
+/// Records the outcome of a call; it is written to the store as the answer for
+/// repeated calls with this key.
 void
-RecordExecution(claim_registry& aBoard,
+RecordExecution(claim_registry& aRegistry,
                 const std::string& aAttempt,
                 claim_row aOutcome);
 
-/// Gives a claim up. True: it has not run and never will.
+/// Abandons a claim. Returns true if the call has not run and never will.
 bool
-GiveUp(claim_registry& aBoard, const std::string& aAttempt, time_point aNow);
+GiveUp(claim_registry& aRegistry, const std::string& aAttempt, time_point aNow);
 
-/// Where a claim stands, or null.
+/// The claim of an attempt, or null.
 const claim*
-FindClaim(const claim_registry& aBoard, const std::string& aAttempt);
+FindClaim(const claim_registry& aRegistry, const std::string& aAttempt);
 void
-DropClaim(claim_registry& aBoard, const std::string& aAttempt);
+DropClaim(claim_registry& aRegistry, const std::string& aAttempt);
 
-/// When a write or read is next due, if any is wanted.
+/// Time at which the next store write or read is due, if one is pending.
 std::optional<time_point>
-NextStoreRequestTime(const claim_registry& aBoard);
+NextStoreRequestTime(const claim_registry& aRegistry);
 
 } // namespace primrose
--- a/Libraries/LibDecision/DecisionLog.cpp
+++ b/Libraries/LibDecision/DecisionLog.cpp
@@ -18,8 +18,8 @@
 {
   const auto known = mRecords.find(aRequest);
   if (known != mRecords.end()) {
-    // The newest takes the last place: how a request ended matters more than
-    // its fortieth delay.
+    // When the list is full, the newest record replaces the last one: how a
+    // request ended matters more than its fortieth delay.
     if (known->second.size() >= kMaxRecordsPerRequest) {
       known->second.pop_back();
     }
--- a/Libraries/LibDecision/DecisionLog.h
+++ b/Libraries/LibDecision/DecisionLog.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Why a request was treated as it was: a bounded record of each decision with
-/// its inputs, the alternatives and the settings that caused it.
+/// A bounded log of the decisions made for each request, each with the
+/// alternatives and the settings that led to it.
 
 #include "LibCore/LibCore.h"
 
@@ -26,11 +26,11 @@
 std::string_view
 DecisionName(decision_kind aKind);
 
-/// A setting that had a part in a decision.
+/// A setting that influenced a decision.
 struct decision_cause
 {
-  std::string mSetting; ///< Its name in the tree.
-  std::string mOrigin;  ///< The node that sets it, or `default`.
+  std::string mSetting; ///< Its name in the settings tree.
+  std::string mOrigin;  ///< The tree node that sets it, or `default`.
   double mValue = 0;
 
   bool operator==(const decision_cause&) const = default;
@@ -49,7 +49,7 @@
 {
   decision_kind mKind = decision_kind::Admit;
   wall_time mTime;
-  std::uint64_t mRevision = 0; ///< Of the settings.
+  std::uint64_t mRevision = 0; ///< Revision of the settings.
   std::string mText;
   std::vector<decision_alternative> mAlternatives;
   std::vector<decision_cause> mCauses;
@@ -57,12 +57,13 @@
   bool operator==(const decision_record&) const = default;
 };
 
-/// The records of the latest requests; the oldest request is forgotten first.
+/// The records of the latest requests. When the log is full, the oldest request
+/// is dropped first.
 class decision_log
 {
 public:
   static constexpr std::size_t kDefaultRequests = 4096;
-  static constexpr std::size_t kMaxRecordsPerRequest = 32; ///< For one request.
+  static constexpr std::size_t kMaxRecordsPerRequest = 32;
 
   explicit decision_log(std::size_t aRequests = kDefaultRequests)
     : mMaxRequests(aRequests)
--- a/Libraries/LibDecision/Directory.cpp
+++ b/Libraries/LibDecision/Directory.cpp
@@ -9,8 +9,8 @@
 
 constexpr duration kAvoidanceBase = std::chrono::milliseconds(250);
 constexpr duration kMaxAvoidance = std::chrono::seconds(8);
-/// One lost answer does not count: a slow peer must not be taken for a dead
-/// one. From the second failure in a row the endpoint is avoided.
+/// One lost answer is tolerated, so that a slow endpoint is not taken for a
+/// dead one. From the second failure in a row the endpoint is avoided.
 constexpr unsigned kToleratedFailures = 1;
 
 constexpr std::array<std::string_view, 3> kKindNames = { "engine",
@@ -98,14 +98,15 @@
   if (view.mFailures <= kToleratedFailures) {
     return;
   }
-  constexpr unsigned kMostDoublings = 6;
+  constexpr unsigned kMaxDoublings = 6;
   const unsigned doublings =
-    std::min(view.mFailures - kToleratedFailures - 1, kMostDoublings);
-  const duration longest =
+    std::min(view.mFailures - kToleratedFailures - 1, kMaxDoublings);
+  const duration bound =
     std::min(kAvoidanceBase * (1U << doublings), kMaxAvoidance);
-  // Between half and all of it, so that entries do not come back as one.
+  // A random time between half and all of the back-off, so that the entries do
+  // not return to the endpoint at the same moment.
   const double part = 0.5 + 0.5 * Uniform(aRandom);
-  view.mAvoidUntil = aNow + FromSeconds(Seconds(longest) * part);
+  view.mAvoidUntil = aNow + FromSeconds(Seconds(bound) * part);
 }
 
 void
--- a/Libraries/LibDecision/Directory.h
+++ b/Libraries/LibDecision/Directory.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// An entry's view of the endpoints: which there are, which are leaving, which
-/// did not answer lately. The platform's list lags, so what an agent itself
-/// said (a refusal) and what was seen (a failure) go before it.
+/// An entry's directory of the endpoints: which exist, which are leaving and
+/// which failed recently. The platform's list lags, so a refusal by the agent
+/// itself and an observed failure take precedence over it.
 
 #include "LibCore/LibCore.h"
 
@@ -15,9 +15,9 @@
 
 enum class vm_kind : std::uint8_t
 {
-  Engine,  ///< Beside it runs an agent; it serves a model.
-  Service, ///< Beside it runs an agent; it is a plain service.
-  Entry,   ///< One of our own entries.
+  Engine,  ///< Runs an agent beside a model's engine.
+  Service, ///< Runs an agent beside a plain service.
+  Entry,   ///< An entry of this system.
 };
 
 std::string_view
@@ -28,8 +28,8 @@
 /// One row of the platform's list of VMs.
 struct listed_endpoint
 {
-  std::string mName;    ///< Unique for a VM's lifetime; a new VM, a new name.
-  std::string mAddress; ///< Of the agent beside the endpoint.
+  std::string mName; ///< Unique for a VM's lifetime; a new VM gets a new name.
+  std::string mAddress; ///< Address of the agent beside the endpoint.
   std::string mServes;
   std::string mRegion;
   std::string mDataCentre;
@@ -43,9 +43,11 @@
 {
   listed_endpoint mListed;
   bool mReportedLeaving = false;
-  unsigned mFailures = 0;         ///< In a row.
-  time_point mAvoidUntil{};       ///< Not asked before then.
-  std::uint64_t mSharedOrder = 0; ///< Place in the order all entries agree on.
+  unsigned mFailures = 0; ///< Consecutive failures.
+  /// Not probed before this time, unless all endpoints are avoided.
+  time_point mAvoidUntil{};
+  /// Sort key of the order shared by all entries.
+  std::uint64_t mSharedOrder = 0;
 
   bool operator==(const endpoint_view&) const = default;
 };
@@ -57,7 +59,7 @@
   bool mHasList = false;
 };
 
-/// What changed by a new list; for the log.
+/// The changes that a new list brought, for the log.
 struct directory_change
 {
   std::vector<std::string> mAdded;
@@ -67,8 +69,9 @@
   bool operator==(const directory_change&) const = default;
 };
 
-/// Takes a list from the platform. An endpoint that itself said it is leaving
-/// stays so, whatever the lagging list says.
+/// Replaces the directory's contents by a list from the platform. An endpoint
+/// that reported that it is leaving stays marked so even if the lagging list
+/// does not show it.
 directory_change
 ApplyList(endpoint_directory& aDirectory,
           const std::vector<listed_endpoint>& aList,
@@ -76,8 +79,9 @@
 
 void
 MarkLeaving(endpoint_directory& aDirectory, const std::string& aName);
-/// The endpoint did not answer or failed: it is left alone for a while that
-/// doubles with each failure in a row, with jitter.
+/// Records that the endpoint did not answer or failed. From the second failure
+/// in a row it is avoided for a back-off time that doubles with each further
+/// failure, with jitter.
 void
 RecordFailure(endpoint_directory& aDirectory,
               const std::string& aName,
@@ -86,15 +90,15 @@
 void
 RecordSuccess(endpoint_directory& aDirectory, const std::string& aName);
 
-/// The endpoints that may get new work for this model or service, in the order
-/// that all entries agree on. If all are being avoided, those are given: a
-/// whole fleet that seems down is more likely a fault of our own view.
+/// The endpoints that may get new requests for this model or service, in the
+/// order shared by all entries. If all are avoided, these are returned: when a
+/// whole fleet seems down, the fault is more likely on this entry's side.
 std::vector<const endpoint_view*>
 Usable(const endpoint_directory& aDirectory,
        const std::string& aServes,
        time_point aNow);
 
-/// Entries that are in service, ourselves among them; at least one.
+/// Number of entries in service, including this one; at least one.
 std::size_t
 EntryCount(const endpoint_directory& aDirectory);
 
--- a/Libraries/LibDecision/LibDecision.h
+++ b/Libraries/LibDecision/LibDecision.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// LibDecision: every decision, as free functions over plain structs. They do
-/// no I/O, start no thread and read no clock: the time and the randomness are
-/// arguments, the state is a blackboard that the caller owns. Daemons turn
-/// sockets and timers into calls of these functions and their results into
-/// I/O; tests and experiments call the very same functions in virtual time.
+/// LibDecision: placement, scheduling, admission and claim logic as free
+/// functions over plain structs. The functions do no I/O, start no threads and
+/// read no clock: the current time and the random generator are arguments, and
+/// the state is a struct owned by the caller. The daemons call them from socket
+/// and timer handlers and turn their results into I/O; tests and simulations
+/// call the same functions in virtual time.
 
 #include "LibDecision/Admission.h"
 #include "LibDecision/AgentState.h"
--- a/Libraries/LibDecision/Limits.cpp
+++ b/Libraries/LibDecision/Limits.cpp
@@ -9,7 +9,7 @@
 
 /// Time constant of the demand average, in seconds.
 constexpr double kDemandTimeConstant = 5;
-/// Part of a limit that is dealt out evenly, whatever the demand.
+/// Part of a limit that is divided evenly, regardless of demand.
 constexpr double kEvenShare = 0.1;
 
 } // namespace
@@ -26,12 +26,12 @@
     aBucket.mLevel = burst;
     aBucket.mRefilledAt = aNow;
   }
-  const double gained = aRatePerSecond * Seconds(aNow - aBucket.mRefilledAt);
-  aBucket.mLevel = std::min(burst, aBucket.mLevel + gained);
+  const double refill = aRatePerSecond * Seconds(aNow - aBucket.mRefilledAt);
+  aBucket.mLevel = std::min(burst, aBucket.mLevel + refill);
   aBucket.mRefilledAt = aNow;
   if (aBucket.mLevel <= 0) {
-    constexpr double kShortest = 0.001;
-    return std::max(kShortest, -aBucket.mLevel / aRatePerSecond);
+    constexpr double kMinWaitSeconds = 0.001;
+    return std::max(kMinWaitSeconds, -aBucket.mLevel / aRatePerSecond);
   }
   aBucket.mLevel -= aAmount;
   return std::nullopt;
@@ -40,13 +40,13 @@
 double
 ShareOfLimit(double aOwnDemand, double aOthersDemand, std::size_t aSharers)
 {
-  const double even =
+  const double evenShare =
     1.0 / static_cast<double>(std::max<std::size_t>(1, aSharers));
-  const double all = aOwnDemand + aOthersDemand;
-  if (all <= 0) {
-    return even;
+  const double totalDemand = aOwnDemand + aOthersDemand;
+  if (totalDemand <= 0) {
+    return evenShare;
   }
-  return kEvenShare * even + (1 - kEvenShare) * aOwnDemand / all;
+  return kEvenShare * evenShare + (1 - kEvenShare) * aOwnDemand / totalDemand;
 }
 
 void
--- a/Libraries/LibDecision/Limits.h
+++ b/Libraries/LibDecision/Limits.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Limits of organisations over many entries without a shared counter. Each
-/// entry spends from a share of its own. Shares follow demand: an entry with
-/// more traffic of an organisation takes more of its limit.
+/// Distributed rate limits without a shared counter. Each entry spends from its
+/// own share of an organisation's limit. Shares follow demand: an entry that
+/// gets more of an organisation's traffic takes a larger share of its limit.
 
 #include "LibCore/LibCore.h"
 
@@ -10,9 +10,9 @@
 
 namespace primrose {
 
-/// A bucket of tokens that fills at a rate. Going into debt is allowed for one
-/// request (a long prompt may be larger than the burst); the debt is paid
-/// before the next one is admitted.
+/// A token bucket. It may go into debt for one request, since a long prompt can
+/// be larger than the burst; the debt must be refilled before the next request
+/// is admitted.
 struct token_bucket
 {
   double mLevel = 0;
@@ -22,24 +22,25 @@
   bool operator==(const token_bucket&) const = default;
 };
 
-/// Seconds of the rate that a bucket may hold.
+/// Burst size, in seconds of the rate.
 inline constexpr double kBurstSeconds = 2;
 
-/// Takes `aAmount` at `aNow` if the bucket is not empty; else gives the
-/// seconds until it will not be.
+/// Takes `aAmount` at `aNow` if the bucket is not empty; otherwise returns the
+/// seconds until it is no longer empty.
 std::optional<double>
 TakeTokens(token_bucket& aBucket,
            double aAmount,
            double aRatePerSecond,
            time_point aNow);
 
-/// An entry's part of a limit, from its own demand and what it last heard of
-/// the others' (late, perhaps). A floor for each sharer lets new demand in at
-/// once; the parts of all sharers add up to at most one if all know the same.
+/// An entry's share of a limit, from its own demand and the last (possibly
+/// outdated) reports of the other entries' demand. A minimum share for each
+/// entry lets new demand in at once. If all entries have the same figures,
+/// their shares add up to at most one.
 double
 ShareOfLimit(double aOwnDemand, double aOthersDemand, std::size_t aSharers);
 
-/// A decaying average of demand in units a second.
+/// An exponentially decaying average of demand, in units per second.
 struct demand_meter
 {
   double mRate = 0;
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// Of a group's memory this part stays free, since parts are cut at whole
-/// blocks and the engines' own counts differ a little from the estimate.
+/// Usable part of a group's memory. The rest stays free, since prompts are
+/// split at whole blocks and the engines' own token counts differ a little from
+/// the estimate.
 constexpr double kUsableGroupMemory = 0.95;
-/// Output tokens for which a slowed engine is charged; the true length of an
-/// answer is not known when it is placed.
+/// Output tokens charged for an engine's slowdown; the real length of an answer
+/// is not known at placement.
 constexpr double kAssumedOutputTokens = 64;
 
 void
@@ -22,8 +23,9 @@
   }
 }
 
-/// The endpoint where requests with this beginning meet, so that the prefix is
-/// read once; nothing if the prompt is too short to have a mark.
+/// The endpoint to which rendezvous hashing assigns prompts with this prefix,
+/// so that the prefix is read and cached only once. None if the prompt is too
+/// short to have a prefix hash.
 std::optional<std::size_t>
 PrefixAffinityTarget(const std::vector<std::string>& aNames,
                      const request_shape& aShape)
@@ -45,10 +47,10 @@
 }
 
 std::size_t
-LongPoolSize(const placement_state& aMemory, std::size_t aEndpoints)
+LongPoolSize(const placement_state& aState, std::size_t aEndpoints)
 {
-  const double front = std::ceil(std::max(0.0, aMemory.mLongPoolSize));
-  return std::min(static_cast<std::size_t>(front), aEndpoints);
+  const double poolSize = std::ceil(std::max(0.0, aState.mLongPoolSize));
+  return std::min(static_cast<std::size_t>(poolSize), aEndpoints);
 }
 
 void
@@ -58,8 +60,9 @@
                  std::size_t aWanted,
                  random_engine& aRandom)
 {
-  // Bounded: with nearly all of the range chosen already, random draws would
-  // repeat themselves; a few less probes do no harm.
+  // The number of draws is bounded: when nearly the whole range is chosen
+  // already, random draws mostly repeat earlier ones. A few probes less do no
+  // harm.
   constexpr std::size_t kDrawsPerProbe = 4;
   const std::size_t draws = kDrawsPerProbe * aWanted;
   for (std::size_t i = 0; i < draws && aChosen.size() < aWanted; ++i) {
@@ -67,8 +70,8 @@
   }
 }
 
-/// Engines over which a long prompt is spread to be read sooner. Parts that
-/// are too small would gain less than the group's reservations cost.
+/// Number of engines over which a long prompt is spread to be read sooner.
+/// Parts that are too small would gain less than the group's reservations cost.
 std::size_t
 ParallelPrefillEngines(const request_shape& aShape,
                        const placement_rules& aRules)
@@ -89,22 +92,23 @@
 }
 
 double
-Score(const candidate& aCandidate,
-      const request_shape& aShape,
-      const placement_rules& aRules,
-      const engine_shape& aEngine)
+CandidateScore(const candidate& aCandidate,
+               const request_shape& aShape,
+               const placement_rules& aRules,
+               const engine_shape& aEngine)
 {
   const probe_answer& answer = aCandidate.mAnswer;
   double score = answer.mFirstTokenSeconds;
-  const double idleStep = StepSeconds(aEngine, 1, 0, 0);
+  const double idleStepSeconds = StepSeconds(aEngine, 1, 0, 0);
   if (!aShape.mLong) {
-    // A short request pays for the engine's slowness with each token written.
+    // A short request is delayed by the engine's slowdown at each output token.
     const double output =
       std::min(kAssumedOutputTokens, static_cast<double>(aShape.mMaxTokens));
-    score +=
-      aRules.mShortProtection * output * idleStep * (answer.mStepSlowdown - 1);
+    score += aRules.mShortProtection * output * idleStepSeconds *
+             (answer.mStepSlowdown - 1);
   } else {
-    // A long prompt slows all that is running there for as long as it reads.
+    // A long prompt slows every sequence running on the engine for the duration
+    // of its prefill.
     const double chunkSeconds =
       static_cast<double>(aEngine.mChunk) / aEngine.mPrefillTokensPerSecond;
     const double part =
@@ -120,19 +124,19 @@
 
 bool
 PacksLongPrompts(const placement_rules& aRules,
-                 const placement_state& aMemory,
+                 const placement_state& aState,
                  std::size_t aEndpoints)
 {
   return aRules.mLongPoolSlack > 0 &&
-         2 * LongPoolSize(aMemory, aEndpoints) <= aEndpoints;
+         2 * LongPoolSize(aState, aEndpoints) <= aEndpoints;
 }
 
 std::vector<std::size_t>
 ChooseProbeTargets(const std::vector<std::string>& aNames,
                    const request_shape& aShape,
                    const placement_rules& aRules,
-                   const placement_state& aMemory,
-                   std::size_t aGroup,
+                   const placement_state& aState,
+                   std::size_t aGroupSize,
                    random_engine& aRandom)
 {
   const std::size_t count = aNames.size();
@@ -141,26 +145,28 @@
   if (count == 0) {
     return chosen;
   }
-  const std::size_t front = LongPoolSize(aMemory, count);
-  const bool packs = PacksLongPrompts(aRules, aMemory, count);
+  const std::size_t poolSize = LongPoolSize(aState, count);
+  const bool packsLong = PacksLongPrompts(aRules, aState, count);
   if (aRules.mUsePrefixAffinity) {
-    const std::optional<std::size_t> home =
+    const std::optional<std::size_t> affinity =
       PrefixAffinityTarget(aNames, aShape);
-    const bool isShortAtFront = home && !aShape.mLong && packs && *home < front;
-    if (home && !isShortAtFront) {
-      AddUnique(chosen, *home);
+    const bool isShortInLongPool =
+      affinity && !aShape.mLong && packsLong && *affinity < poolSize;
+    if (affinity && !isShortInLongPool) {
+      AddUnique(chosen, *affinity);
     }
   }
-  if (!packs) {
+  if (!packsLong) {
     AddRandomTargets(chosen, 0, count, wanted, aRandom);
     return chosen;
   }
   if (aShape.mLong) {
-    const std::size_t window = std::min(count, std::max(front + 1, aGroup + 1));
-    AddRandomTargets(chosen, 0, window, wanted, aRandom);
+    const std::size_t range =
+      std::min(count, std::max(poolSize + 1, aGroupSize + 1));
+    AddRandomTargets(chosen, 0, range, wanted, aRandom);
     return chosen;
   }
-  const std::size_t first = front < count ? front : 0;
+  const std::size_t first = poolSize < count ? poolSize : 0;
   AddRandomTargets(chosen, first, count, wanted, aRandom);
   AddRandomTargets(chosen, 0, count, wanted, aRandom);
   return chosen;
@@ -171,16 +177,17 @@
                const request_shape& aShape,
                const placement_rules& aRules,
                const engine_shape& aEngine,
-               bool aPacks)
+               bool aPacksLong)
 {
   std::vector<scored_candidate> ranked;
   for (const candidate& one : aCandidates) {
     if (one.mAnswer.mRefusal == refusal::None) {
-      ranked.push_back({ one.mIndex, Score(one, aShape, aRules, aEngine) });
+      ranked.push_back(
+        { one.mIndex, CandidateScore(one, aShape, aRules, aEngine) });
     }
   }
   const double slack =
-    aShape.mLong && aPacks
+    aShape.mLong && aPacksLong
       ? aRules.mLongPoolSlack * UncontendedPrefillSeconds(aShape, aEngine)
       : 0;
   std::sort(ranked.begin(),
@@ -191,7 +198,8 @@
   if (slack <= 0 || ranked.empty()) {
     return ranked;
   }
-  // Among those nearly as good as the best, the first of the order is taken.
+  // Of the candidates within `slack` of the best score, the first in the shared
+  // order is preferred.
   const double bound = ranked.front().mScore + slack;
   const auto end =
     std::find_if(ranked.begin(), ranked.end(), [&](const auto& aOne) {
@@ -206,43 +214,44 @@
 }
 
 void
-UpdateLongPoolSize(placement_state& aMemory,
+UpdateLongPoolSize(placement_state& aState,
                    const std::vector<candidate>& aCandidates,
                    const request_shape& aShape,
                    const placement_rules& aRules,
                    const engine_shape& aEngine,
-                   std::size_t aGroup,
+                   std::size_t aGroupSize,
                    std::size_t aEndpoints)
 {
   if (!aShape.mLong || aRules.mLongPoolSlack <= 0 || aCandidates.empty()) {
     return;
   }
   std::vector<double> waits;
-  std::size_t idleInFront = 0;
-  const double own = UncontendedPrefillSeconds(aShape, aEngine);
+  std::size_t idleInPool = 0;
+  const double ownSeconds = UncontendedPrefillSeconds(aShape, aEngine);
   for (const candidate& one : aCandidates) {
     if (one.mAnswer.mRefusal != refusal::None) {
       continue;
     }
-    waits.push_back(one.mAnswer.mFirstTokenSeconds - own);
-    const bool inFront =
-      static_cast<double>(one.mIndex) < aMemory.mLongPoolSize;
-    idleInFront += inFront && one.mAnswer.mLong == 0 ? 1 : 0;
+    waits.push_back(one.mAnswer.mFirstTokenSeconds - ownSeconds);
+    const bool isInPool =
+      static_cast<double>(one.mIndex) < aState.mLongPoolSize;
+    idleInPool += isInPool && one.mAnswer.mLong == 0 ? 1 : 0;
   }
   std::sort(waits.begin(), waits.end());
-  const double wait = waits.size() < aGroup ? INFINITY : waits[aGroup - 1];
-  // Out by a tenth when long prompts wait, back by less when more engines of
-  // the front stand idle than one request needs: the front does not swing
-  // with each request.
-  constexpr double kStepOut = 0.1;
-  constexpr double kStepBack = 0.02;
-  if (wait > aRules.mLongPoolSlack * own) {
-    aMemory.mLongPoolSize += std::max(1.0, kStepOut * aMemory.mLongPoolSize);
-  } else if (idleInFront > aGroup) {
-    aMemory.mLongPoolSize -= std::max(0.1, kStepBack * aMemory.mLongPoolSize);
+  const double wait =
+    waits.size() < aGroupSize ? INFINITY : waits[aGroupSize - 1];
+  // The pool grows by a tenth when long prompts wait and shrinks by less when
+  // more engines of the pool are idle than one request needs, so that its size
+  // does not oscillate with each request.
+  constexpr double kGrowthPart = 0.1;
+  constexpr double kShrinkPart = 0.02;
+  if (wait > aRules.mLongPoolSlack * ownSeconds) {
+    aState.mLongPoolSize += std::max(1.0, kGrowthPart * aState.mLongPoolSize);
+  } else if (idleInPool > aGroupSize) {
+    aState.mLongPoolSize -= std::max(0.1, kShrinkPart * aState.mLongPoolSize);
   }
-  aMemory.mLongPoolSize =
-    std::clamp(aMemory.mLongPoolSize,
+  aState.mLongPoolSize =
+    std::clamp(aState.mLongPoolSize,
                1.0,
                static_cast<double>(std::max<std::size_t>(1, aEndpoints)));
 }
@@ -279,7 +288,8 @@
   request_shape part = aShape;
   part.mPromptTokens = (aShape.mPromptTokens + aMembers - 1) / aMembers;
   if (aMembers > 1) {
-    // A part's beginning is not the prompt's beginning.
+    // The start of a part is not the start of the prompt, so the prefix hashes
+    // do not apply.
     part.mPrefixHashes.clear();
   }
   if (aRole == hold_role::Member) {
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -1,12 +1,14 @@
 #pragma once
 
-/// Where a request goes: whom to ask, and which of those that answered.
+/// Placement of a request: which endpoints to probe, and which of those that
+/// answered to use.
 ///
-/// Long prompts are packed: they go to the first engines of an order that all
-/// entries share, and to further ones only when those would make them wait.
-/// Short prompts ask engines anywhere, rather past that front, and keep away
-/// from engines that have long prompts to read. So the number of engines that
-/// read long prompts follows the demand without any agreement.
+/// Long prompts are packed into the long-prompt pool: the first engines of an
+/// order that all entries share. They go to further engines only if those of
+/// the pool would make them wait. Short prompts probe engines anywhere, but
+/// prefer those outside the pool and those without long prompts to read. So the
+/// number of engines that read long prompts follows the demand without any
+/// coordination between entries.
 
 #include "LibDecision/Scheduler.h"
 
@@ -16,48 +18,57 @@
 
 namespace primrose {
 
-/// What placing needs of the settings.
+/// The settings that placement depends on.
 struct placement_rules
 {
-  unsigned mProbes = 4;
+  unsigned mProbes = 4; ///< Endpoints probed for each request.
+  /// Weight of the slowdown that short and long requests on one engine cause
+  /// each other, in a candidate's score.
   double mShortProtection = 1;
+  /// Engines over which a long prompt may be spread to be read sooner.
   unsigned mLongSpread = 1;
-  /// Long prompts are cut into parts of at most this size. An engine with a
-  /// whole large prompt has no memory left to read the next while it writes.
+  /// Long prompts are split into parts of at most this many tokens. An engine
+  /// that holds a whole large prompt has no memory left to read the next one
+  /// while it decodes.
   tokens mMaxLongPartTokens = 128000;
-  /// Most parts that a long prompt is cut into, unless memory needs more.
+  /// Maximum number of parts of a long prompt, unless its memory needs more.
   std::size_t mMostParts = 8;
-  /// Long prompts move on to one more engine when they would wait longer than
-  /// this part of their own reading time; 0: they are not packed at all.
+  /// The long-prompt pool grows by one engine or more when a long prompt would
+  /// wait longer than this part of its own prefill time. 0: no pool, long
+  /// prompts are not packed.
   double mLongPoolSlack = 0.25;
+  /// Also probe the endpoint that is assigned to the prompt's prefix.
   bool mUsePrefixAffinity = true;
 
   bool operator==(const placement_rules&) const = default;
 };
 
-/// What an entry remembers of a model's fleet from the answers it got.
+/// An entry's placement state for one model, updated from the answers to its
+/// probes.
 struct placement_state
 {
-  /// Engines, from the start of the order, thought to read long prompts.
+  /// Estimated number of engines, from the start of the shared order, that read
+  /// long prompts.
   double mLongPoolSize = 0;
 
   bool operator==(const placement_state&) const = default;
 };
 
-/// Indices into the usable endpoints of those to ask, best guesses first.
-/// `aNames` are in the shared order; `aGroup` engines are needed.
+/// Indices into the usable endpoints of those to probe, the preferred ones
+/// first. `aNames` is in the shared order; the request needs `aGroupSize`
+/// engines.
 std::vector<std::size_t>
 ChooseProbeTargets(const std::vector<std::string>& aNames,
                    const request_shape& aShape,
                    const placement_rules& aRules,
-                   const placement_state& aMemory,
-                   std::size_t aGroup,
+                   const placement_state& aState,
+                   std::size_t aGroupSize,
                    random_engine& aRandom);
 
-/// An endpoint that answered.
+/// An endpoint that answered a probe.
 struct candidate
 {
-  std::size_t mIndex = 0; ///< Into the usable endpoints.
+  std::size_t mIndex = 0; ///< Index into the usable endpoints.
   probe_answer mAnswer;
 
   bool operator==(const candidate&) const = default;
@@ -70,42 +81,45 @@
   bool operator==(const scored_candidate&) const = default;
 };
 
-/// Whether long prompts are packed now. Packing pays while they need the
-/// smaller part of the engines. Past that, short prompts would crowd on the few
-/// that are left and long ones wait for each other (measured, see
-/// docs/MEASUREMENTS.md), so all share all.
+/// Whether long prompts are packed into the long-prompt pool now. Packing pays
+/// off while they need at most half of the engines. Beyond that, short prompts
+/// would crowd onto the few engines left and long prompts would wait for each
+/// other (measured, see docs/MEASUREMENTS.md), so all requests share all
+/// engines.
 bool
 PacksLongPrompts(const placement_rules& aRules,
-                 const placement_state& aMemory,
+                 const placement_state& aState,
                  std::size_t aEndpoints);
 
-/// The candidates that can take the work, best first.
+/// The candidates that did not refuse, best first.
 std::vector<scored_candidate>
 RankCandidates(const std::vector<candidate>& aCandidates,
                const request_shape& aShape,
                const placement_rules& aRules,
                const engine_shape& aEngine,
-               bool aPacks);
+               bool aPacksLong);
 
-/// Learns from the answers to the probes of one request for `aGroup` engines.
+/// Updates the size of the long-prompt pool from the answers to the probes of
+/// one request that needs `aGroupSize` engines.
 void
-UpdateLongPoolSize(placement_state& aMemory,
+UpdateLongPoolSize(placement_state& aState,
                    const std::vector<candidate>& aCandidates,
                    const request_shape& aShape,
                    const placement_rules& aRules,
                    const engine_shape& aEngine,
-                   std::size_t aGroup,
+                   std::size_t aGroupSize,
                    std::size_t aEndpoints);
 
-/// How many engines a prompt is spread over: as many as its memory needs, and
-/// for a long one up to `mLongSpread`, so that it is read sooner.
+/// Number of engines that a prompt is spread over: as many as its memory needs;
+/// a long prompt also gets one for each part and up to `mLongSpread`, so that
+/// it is read sooner.
 std::size_t
 GroupSize(const request_shape& aShape,
           const placement_rules& aRules,
           tokens aEngineCapacity);
 
-/// The part of a group's prompt that one member holds (rounded up); the lead
-/// also holds the answer's tokens.
+/// The share of the prompt that one engine of a group holds (rounded up). Only
+/// the lead also holds the memory for the answer's tokens.
 request_shape
 MemberShape(const request_shape& aShape, std::size_t aMembers, hold_role aRole);
 
--- a/Libraries/LibDecision/PrefixCache.cpp
+++ b/Libraries/LibDecision/PrefixCache.cpp
@@ -3,41 +3,42 @@
 namespace primrose {
 
 tokens
-prefix_cache::CachedTokens(const std::vector<std::uint64_t>& aMarks) const
+prefix_cache::CachedTokens(
+  const std::vector<std::uint64_t>& aPrefixHashes) const
 {
-  tokens held = 0;
-  for (std::size_t i = 0; i < aMarks.size(); ++i) {
-    if (!mIndex.contains(aMarks[i])) {
+  tokens cached = 0;
+  for (std::size_t i = 0; i < aPrefixHashes.size(); ++i) {
+    if (!mIndex.contains(aPrefixHashes[i])) {
       break;
     }
-    held = PrefixLength(i);
+    cached = PrefixLength(i);
   }
-  return held;
+  return cached;
 }
 
 void
-prefix_cache::Insert(const std::vector<std::uint64_t>& aMarks)
+prefix_cache::Insert(const std::vector<std::uint64_t>& aPrefixHashes)
 {
   // Longest first, so that the shorter prefixes end up more recently used: a
-  // long prefix is of no use once a shorter one of its chain is gone.
-  for (std::size_t i = aMarks.size(); i-- > 0;) {
-    const auto known = mIndex.find(aMarks[i]);
+  // long prefix is useless once a shorter one of its chain is evicted.
+  for (std::size_t i = aPrefixHashes.size(); i-- > 0;) {
+    const auto known = mIndex.find(aPrefixHashes[i]);
     if (known != mIndex.end()) {
       mRecency.splice(mRecency.begin(), mRecency, known->second);
       continue;
     }
-    const tokens shorter = i == 0 ? 0 : PrefixLength(i - 1);
-    mRecency.push_front({ aMarks[i], PrefixLength(i) - shorter });
-    mIndex.emplace(aMarks[i], mRecency.begin());
+    const tokens shorterLength = i == 0 ? 0 : PrefixLength(i - 1);
+    mRecency.push_front({ aPrefixHashes[i], PrefixLength(i) - shorterLength });
+    mIndex.emplace(aPrefixHashes[i], mRecency.begin());
     mUsed += mRecency.front().mTokens;
   }
   Evict();
 }
 
 void
-prefix_cache::Erase(std::uint64_t aMark)
+prefix_cache::Erase(std::uint64_t aPrefixHash)
 {
-  const auto known = mIndex.find(aMark);
+  const auto known = mIndex.find(aPrefixHash);
   if (known == mIndex.end()) {
     return;
   }
--- a/Libraries/LibDecision/PrefixCache.h
+++ b/Libraries/LibDecision/PrefixCache.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// What an engine's prefix cache holds, as a bounded least-recently-used set
-/// of prompt marks. The agent keeps one as its belief about the engine; the
-/// engine model keeps one as the truth.
+/// The contents of an engine's prefix cache as a bounded least-recently-used
+/// set of prefix hashes. The agent keeps one as an estimate of its engine's
+/// cache; the engine model uses one as its actual cache.
 
 #include "LibDecision/RequestShape.h"
 
@@ -14,7 +14,7 @@
 struct cached_prefix
 {
   std::uint64_t mPrefixHash = 0;
-  tokens mTokens = 0; ///< Those that the shorter marks do not hold already.
+  tokens mTokens = 0; ///< Tokens not covered by the shorter prefixes already.
 
   bool operator==(const cached_prefix&) const = default;
 };
@@ -27,13 +27,14 @@
   {
   }
 
-  /// Tokens of the longest held prefix; touches nothing.
-  tokens CachedTokens(const std::vector<std::uint64_t>& aMarks) const;
-  /// Takes note that these prefixes were just read.
-  void Insert(const std::vector<std::uint64_t>& aMarks);
-  void Erase(std::uint64_t aMark);
+  /// Tokens of the longest cached prefix; does not change the eviction order.
+  tokens CachedTokens(const std::vector<std::uint64_t>& aPrefixHashes) const;
+  /// Marks these prefixes as most recently used and adds those that are
+  /// missing.
+  void Insert(const std::vector<std::uint64_t>& aPrefixHashes);
+  void Erase(std::uint64_t aPrefixHash);
   void Clear();
-  /// Lowers or raises the memory that may be used, evicting at once.
+  /// Changes the memory limit and evicts at once what exceeds it.
   void Resize(tokens aCapacity);
   tokens Used() const { return mUsed; }
   std::size_t Size() const { return mIndex.size(); }
--- a/Libraries/LibDecision/RequestShape.cpp
+++ b/Libraries/LibDecision/RequestShape.cpp
@@ -36,18 +36,20 @@
 std::vector<std::uint64_t>
 PrefixHashes(std::string_view aPrompt)
 {
-  std::vector<std::uint64_t> marks;
-  std::uint64_t chain = 0;
-  std::size_t done = 0;
+  std::vector<std::uint64_t> hashes;
+  std::uint64_t chainedHash = 0;
+  std::size_t hashedBytes = 0;
   for (std::size_t end = kMinPrefixTokens * kBytesPerToken;
        end <= aPrompt.size();
        end *= 2) {
-    // Chained: each text is hashed once, and equal marks mean equal prefixes.
-    chain = Hash(aPrompt.substr(done, end - done), chain);
-    marks.push_back(chain);
-    done = end;
+    // The hashes are chained: each byte is hashed once, and equal hashes mean
+    // equal prefixes.
+    chainedHash =
+      Hash(aPrompt.substr(hashedBytes, end - hashedBytes), chainedHash);
+    hashes.push_back(chainedHash);
+    hashedBytes = end;
   }
-  return marks;
+  return hashes;
 }
 
 } // namespace primrose
--- a/Libraries/LibDecision/Retry.cpp
+++ b/Libraries/LibDecision/Retry.cpp
@@ -23,11 +23,11 @@
 duration
 RetryBackoff(unsigned aAttempt, duration aFirst, random_engine& aRandom)
 {
-  constexpr unsigned kMostDoublings = 8;
-  constexpr duration kLongest = std::chrono::seconds(10);
+  constexpr unsigned kMaxDoublings = 8;
+  constexpr duration kMaxBackoff = std::chrono::seconds(10);
   const unsigned doublings =
-    std::min(aAttempt > 0 ? aAttempt - 1 : 0, kMostDoublings);
-  const duration bound = std::min(aFirst * (1U << doublings), kLongest);
+    std::min(aAttempt > 0 ? aAttempt - 1 : 0, kMaxDoublings);
+  const duration bound = std::min(aFirst * (1U << doublings), kMaxBackoff);
   return FromSeconds(Seconds(bound) * Uniform(aRandom));
 }
 
--- a/Libraries/LibDecision/Retry.h
+++ b/Libraries/LibDecision/Retry.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Retries that cannot become a storm: a budget that only admitted requests
-/// fill, and pauses that double with full jitter.
+/// Protection against retry storms: a retry budget that only admitted requests
+/// refill, and exponential back-off with full jitter.
 
 #include "LibCore/LibCore.h"
 
@@ -14,19 +14,20 @@
   bool operator==(const retry_budget&) const = default;
 };
 
-/// Retries that may be saved up; enough for one endpoint's sudden death, too
-/// few to double the load of a fleet that is failing.
+/// Upper bound of the retry budget: enough for the sudden loss of one endpoint,
+/// too little to double the load of a failing fleet.
 inline constexpr double kMaxSavedRetries = 20;
 
-/// An admitted request earns a part of a retry.
+/// Adds the fraction of a retry that an admitted request earns.
 void
 EarnRetry(retry_budget& aBudget, double aPerRequest);
-/// Takes one retry out of the budget; false if there is none.
+/// Takes one retry out of the budget; false if less than one is left.
 bool
 SpendRetry(retry_budget& aBudget);
 
-/// The pause before attempt number `aAttempt` (the first retry is 1): uniform
-/// between nothing and the first pause doubled for each attempt.
+/// The back-off before retry number `aAttempt` (the first retry is 1): a random
+/// time between 0 and the bound, which starts at `aFirst` and doubles with each
+/// retry.
 duration
 RetryBackoff(unsigned aAttempt, duration aFirst, random_engine& aRandom);
 
--- a/Libraries/LibDecision/Scheduler.cpp
+++ b/Libraries/LibDecision/Scheduler.cpp
@@ -9,44 +9,44 @@
 
 namespace {
 
-/// How fast measured values follow (weight of the newest).
+/// Weight of the newest sample in the moving averages of measured values.
 constexpr double kSmoothingFactor = 0.1;
 constexpr double kMinSlowdown = 0.25;
 constexpr double kMaxSlowdown = 20;
 
 double
-UncachedPromptTokens(const agent_state& aBoard, const request_shape& aShape)
+UncachedPromptTokens(const agent_state& aState, const request_shape& aShape)
 {
   const tokens cached = std::min(
-    aBoard.mCache.CachedTokens(aShape.mPrefixHashes), aShape.mPromptTokens);
+    aState.mCache.CachedTokens(aShape.mPrefixHashes), aShape.mPromptTokens);
   return static_cast<double>(aShape.mPromptTokens - cached);
 }
 
-/// Priority class after ageing: each `mAgeingInterval` of waiting is worth one
-/// class.
+/// Priority class after ageing: each `mAgeingInterval` of waiting raises the
+/// request by one class.
 double
-EffectivePriority(const agent_state& aBoard,
+EffectivePriority(const agent_state& aState,
                   const reservation_state& aWork,
                   time_point aNow)
 {
-  if (!aBoard.mLimits.mUsePriorities) {
+  if (!aState.mLimits.mUsePriorities) {
     return 0;
   }
   const double waited = Seconds(aNow - aWork.mReservation.mArrival);
-  const double classes = waited / Seconds(aBoard.mLimits.mAgeingInterval);
+  const double classes = waited / Seconds(aState.mLimits.mAgeingInterval);
   return std::floor(aWork.mReservation.mShape.mPriority - classes);
 }
 
 double
-FairShareStartTag(const agent_state& aBoard, const reservation_state& aWork)
+FairShareStartTag(const agent_state& aState, const reservation_state& aWork)
 {
-  if (!aBoard.mLimits.mUseFairShares) {
+  if (!aState.mLimits.mUseFairShares) {
     return 0;
   }
   const auto served =
-    aBoard.mServed.find(aWork.mReservation.mShape.mOrganisation);
-  const double last = served == aBoard.mServed.end() ? 0 : served->second;
-  return std::max(last, aBoard.mVirtualTime);
+    aState.mServed.find(aWork.mReservation.mShape.mOrganisation);
+  const double last = served == aState.mServed.end() ? 0 : served->second;
+  return std::max(last, aState.mVirtualTime);
 }
 
 using rank = std::tuple<double, double, std::uint64_t>;
@@ -58,13 +58,13 @@
 };
 
 std::vector<ranked_reservation>
-WaitingByRank(agent_state& aBoard, time_point aNow)
+WaitingByRank(agent_state& aState, time_point aNow)
 {
   std::vector<ranked_reservation> waiting;
-  for (auto& [attempt, work] : aBoard.mWork) {
+  for (auto& [attempt, work] : aState.mWork) {
     if (work.mStage == reservation_stage::Waiting) {
-      waiting.push_back({ { EffectivePriority(aBoard, work, aNow),
-                            FairShareStartTag(aBoard, work),
+      waiting.push_back({ { EffectivePriority(aState, work, aNow),
+                            FairShareStartTag(aState, work),
                             work.mArrivalOrder },
                           &work });
     }
@@ -78,22 +78,22 @@
   return waiting;
 }
 
-/// The part of its load that a freshly started engine takes.
+/// Fraction of its full batch that a recently started engine may run.
 double
-SlowStartFactor(const agent_state& aBoard, time_point aNow)
+SlowStartFactor(const agent_state& aState, time_point aNow)
 {
-  constexpr double kFirstPart = 0.25;
-  const double whole = Seconds(aBoard.mLimits.mSlowStartDuration);
+  constexpr double kInitialPart = 0.25;
+  const double whole = Seconds(aState.mLimits.mSlowStartDuration);
   if (whole <= 0) {
     return 1;
   }
-  const double part = Seconds(aNow - aBoard.mStarted) / whole;
-  return std::clamp(part, kFirstPart, 1.0);
+  const double part = Seconds(aNow - aState.mStarted) / whole;
+  return std::clamp(part, kInitialPart, 1.0);
 }
 
-/// Sums over all work, made once for a dispatch and kept up to date by each
-/// grant: worked out anew for each waiting request they would make a dispatch
-/// quadratic in the length of the queue.
+/// Totals over all reservations that hold memory. They are computed once for
+/// each dispatch and updated at each grant: recomputing them for each waiting
+/// reservation would make a dispatch quadratic in the length of the queue.
 struct memory_holder_totals
 {
   std::size_t mRunningSequences = 0;
@@ -104,192 +104,197 @@
 };
 
 void
-AddToTotals(memory_holder_totals& aSums, const reservation_state& aWork)
+AddToTotals(memory_holder_totals& aTotals, const reservation_state& aWork)
 {
   const request_shape& shape = aWork.mReservation.mShape;
-  const bool reads = aWork.mStage == reservation_stage::Granted ||
-                     aWork.mStage == reservation_stage::Prefilling;
-  aSums.mRunningSequences +=
+  const bool needsPrefill = aWork.mStage == reservation_stage::Granted ||
+                            aWork.mStage == reservation_stage::Prefilling;
+  aTotals.mRunningSequences +=
     aWork.mReservation.mRole != hold_role::Member ? 1 : 0;
-  aSums.mPrefillTokensLeft += reads ? aWork.mPrefillTokensLeft : 0;
-  aSums.mLongPrefillTokensLeft +=
-    reads && shape.mLong ? aWork.mPrefillTokensLeft : 0;
-  (shape.mLong ? aSums.mLongMemory : aSums.mShortMemory) +=
+  aTotals.mPrefillTokensLeft += needsPrefill ? aWork.mPrefillTokensLeft : 0;
+  aTotals.mLongPrefillTokensLeft +=
+    needsPrefill && shape.mLong ? aWork.mPrefillTokensLeft : 0;
+  (shape.mLong ? aTotals.mLongMemory : aTotals.mShortMemory) +=
     shape.MemoryTokens();
 }
 
 memory_holder_totals
-TotalsOf(const agent_state& aBoard)
+TotalsOf(const agent_state& aState)
 {
-  memory_holder_totals sums;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  memory_holder_totals totals;
+  for (const auto& [attempt, work] : aState.mWork) {
     if (work.HoldsMemory()) {
-      AddToTotals(sums, work);
+      AddToTotals(totals, work);
     }
   }
-  return sums;
+  return totals;
 }
 
 bool
-FitsBatch(const agent_state& aBoard,
-          const memory_holder_totals& aSums,
+FitsBatch(const agent_state& aState,
+          const memory_holder_totals& aTotals,
           time_point aNow)
 {
-  const double places =
-    aBoard.mShape.mLargestBatch * SlowStartFactor(aBoard, aNow);
-  return static_cast<double>(aSums.mRunningSequences) + 1 <=
-         std::max(1.0, places);
+  const double slots =
+    aState.mShape.mLargestBatch * SlowStartFactor(aState, aNow);
+  return static_cast<double>(aTotals.mRunningSequences) + 1 <=
+         std::max(1.0, slots);
 }
 
-/// Long prompts in one engine lengthen every step of the short ones there, so
-/// only so much of them is read at once; a single one always may.
+/// Prefill of long prompts lengthens every step of the short requests on the
+/// same engine, so the long prompt tokens being read at once are bounded. A
+/// single long prompt is always allowed.
 bool
-FitsLongPrefillLimit(const agent_state& aBoard,
-                     const memory_holder_totals& aSums,
+FitsLongPrefillLimit(const agent_state& aState,
+                     const memory_holder_totals& aTotals,
                      const reservation_state& aWork)
 {
   if (!aWork.mReservation.mShape.mLong) {
     return true;
   }
-  const double present = aSums.mLongPrefillTokensLeft;
-  return present <= 0 ||
-         present + aWork.mPrefillTokensLeft <=
-           static_cast<double>(aBoard.mLimits.mLongTokensAtOnce);
+  const double longTokens = aTotals.mLongPrefillTokensLeft;
+  return longTokens <= 0 ||
+         longTokens + aWork.mPrefillTokensLeft <=
+           static_cast<double>(aState.mLimits.mLongTokensAtOnce);
 }
 
-/// What is given to the engine cannot be put in another order any more, so
-/// only a little is given ahead of its reading.
+/// Work that was sent to the engine cannot be reordered any more, so only a few
+/// short prompt tokens are sent ahead of the engine's prefill.
 bool
-FitsEngineQueue(const memory_holder_totals& aSums,
-                double aWindow,
+FitsEngineQueue(const memory_holder_totals& aTotals,
+                double aEngineQueueTokens,
                 const reservation_state& aWork)
 {
   const bool isLong = aWork.mReservation.mShape.mLong;
   return isLong ||
-         aSums.mPrefillTokensLeft - aSums.mLongPrefillTokensLeft <= aWindow;
+         aTotals.mPrefillTokensLeft - aTotals.mLongPrefillTokensLeft <=
+           aEngineQueueTokens;
 }
 
-/// Memory that long prompts may hold, all together: a part of the engine's, or
-/// what a single one needs if that is more.
+/// Memory that all long prompts together may hold: a part of the engine's
+/// memory, or the need of a single prompt if that is larger.
 tokens
-LongMemoryLimit(const agent_state& aBoard, tokens aNeed)
+LongMemoryLimit(const agent_state& aState, tokens aNeed)
 {
-  const double part = aBoard.mLimits.mLongMemoryPart *
-                      static_cast<double>(aBoard.mShape.mCapacity);
+  const double part = aState.mLimits.mLongMemoryPart *
+                      static_cast<double>(aState.mShape.mCapacity);
   return std::max(static_cast<tokens>(part), aNeed);
 }
 
-/// Long prompts hold their memory for long. Without a bound they would fill
-/// the engine, and short ones would wait for seconds for one of them to end;
-/// one would see it in the first token of short prompts. So a region is kept
-/// from them. Short work may use all that is free, except that while a long
-/// prompt waits for memory it stays within its own region: else a stream of
-/// short ones would take each token that is freed, and the long one would
-/// starve.
+/// Long prompts hold their memory for a long time. Without a bound they would
+/// fill the engine, and short requests would wait seconds for one of them to
+/// end, which would show in their time to first token. So a part of the memory
+/// is kept from long prompts. Short requests may use all free memory, except
+/// while a long prompt waits for memory: then they are limited to the part kept
+/// for them. Otherwise a stream of short requests would take all freed memory
+/// and the long prompt would starve.
 bool
-FitsMemory(const agent_state& aBoard,
-           const memory_holder_totals& aSums,
+FitsMemory(const agent_state& aState,
+           const memory_holder_totals& aTotals,
            const reservation_state& aWork,
-           tokens aWaits)
+           tokens aWaitingLongTokens)
 {
   const request_shape& shape = aWork.mReservation.mShape;
   const tokens need = shape.MemoryTokens();
-  if (need > FreeTokens(aBoard)) {
+  if (need > FreeTokens(aState)) {
     return false;
   }
   if (shape.mLong) {
-    return aSums.mLongMemory + need <= LongMemoryLimit(aBoard, need);
+    return aTotals.mLongMemory + need <= LongMemoryLimit(aState, need);
   }
-  if (aWaits == 0) {
+  if (aWaitingLongTokens == 0) {
     return true;
   }
   const tokens forShort =
-    aBoard.mShape.mCapacity - LongMemoryLimit(aBoard, aWaits);
-  const tokens used = aSums.mShortMemory;
+    aState.mShape.mCapacity - LongMemoryLimit(aState, aWaitingLongTokens);
+  const tokens used = aTotals.mShortMemory;
   return used == 0 || used + need <= forShort;
 }
 
 void
-Grant(agent_state& aBoard, reservation_state& aWork, time_point aNow)
+Grant(agent_state& aState, reservation_state& aWork, time_point aNow)
 {
   const request_shape& shape = aWork.mReservation.mShape;
-  const double tag = FairShareStartTag(aBoard, aWork);
-  aBoard.mVirtualTime = tag;
-  aBoard.mServed[shape.mOrganisation] =
+  const double tag = FairShareStartTag(aState, aWork);
+  aState.mVirtualTime = tag;
+  aState.mServed[shape.mOrganisation] =
     tag +
     static_cast<double>(shape.MemoryTokens()) / aWork.mReservation.mWeight;
   aWork.mStage = reservation_stage::Granted;
   aWork.mGrantedAt = aNow;
   aWork.mLeaseEnd = aNow + aWork.mReservation.mLease;
-  aWork.mPrefillTokensLeft = UncachedPromptTokens(aBoard, shape);
+  aWork.mPrefillTokensLeft = UncachedPromptTokens(aState, shape);
   aWork.mCachedTokens =
     shape.mPromptTokens - static_cast<tokens>(aWork.mPrefillTokensLeft);
-  aBoard.mUsed += shape.MemoryTokens();
+  aState.mUsed += shape.MemoryTokens();
 }
 
-/// Forgets the shares of organisations that have been overtaken: they start
-/// at the virtual time again, so nothing is lost, and the table stays small.
+/// Removes the fair-share entries of organisations whose tag is at or below the
+/// virtual time. They would start at the virtual time again anyway, so no
+/// information is lost and the table stays small.
 void
-PruneServedShares(agent_state& aBoard)
+PruneServedShares(agent_state& aState)
 {
   constexpr std::size_t kMaxServedEntries = 4096;
-  if (aBoard.mServed.size() <= kMaxServedEntries) {
+  if (aState.mServed.size() <= kMaxServedEntries) {
     return;
   }
-  std::erase_if(aBoard.mServed, [&](const auto& aShare) {
-    return aShare.second <= aBoard.mVirtualTime;
+  std::erase_if(aState.mServed, [&](const auto& aShare) {
+    return aShare.second <= aState.mVirtualTime;
   });
 }
 
-/// Unread tokens that go before a request of this shape.
+/// Prompt tokens, waiting or not yet read by the engine, that are served before
+/// a request of this shape.
 double
-QueuedTokensAhead(agent_state& aBoard, const request_shape& aShape)
+QueuedTokensAhead(agent_state& aState, const request_shape& aShape)
 {
   double ahead = 0;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const request_shape& other = work.mReservation.mShape;
-    const bool goesBefore = std::tuple(other.mLong, other.mPriority) <=
-                            std::tuple(aShape.mLong, aShape.mPriority);
-    if (!goesBefore) {
+    const bool isAhead = std::tuple(other.mLong, other.mPriority) <=
+                         std::tuple(aShape.mLong, aShape.mPriority);
+    if (!isAhead) {
       continue;
     }
     ahead += work.mStage == reservation_stage::Waiting
-               ? UncachedPromptTokens(aBoard, other)
+               ? UncachedPromptTokens(aState, other)
                : work.mPrefillTokensLeft;
   }
   return ahead;
 }
 
-/// Seconds until so much memory has been given back, judged by how long it is
-/// held on average.
+/// Estimated seconds until this much memory is free, from the average time for
+/// which memory is held.
 double
-EstimateMemoryWait(const agent_state& aBoard, tokens aNeed)
+EstimateMemoryWait(const agent_state& aState, tokens aNeed)
 {
   tokens wanted = aNeed;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     wanted += work.mStage == reservation_stage::Waiting
                 ? work.mReservation.mShape.MemoryTokens()
                 : 0;
   }
-  const tokens free = FreeTokens(aBoard);
+  const tokens free = FreeTokens(aState);
   if (wanted <= free) {
     return 0;
   }
-  return aBoard.mMeanMemoryHoldSeconds * static_cast<double>(wanted - free) /
-         static_cast<double>(aBoard.mShape.mCapacity);
+  return aState.mMeanMemoryHoldSeconds * static_cast<double>(wanted - free) /
+         static_cast<double>(aState.mShape.mCapacity);
 }
 
-/// Unread tokens in the engine that it reads before those of this work.
+/// Prompt tokens sent to the engine that it reads before those of this
+/// reservation.
 double
-PrefillTokensAhead(const agent_state& aBoard, const reservation_state& aWork)
+PrefillTokensAhead(const agent_state& aState, const reservation_state& aWork)
 {
   const request_shape& own = aWork.mReservation.mShape;
   double ahead = 0;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const request_shape& other = work.mReservation.mShape;
-    const bool goesBefore = std::tuple(other.mLong, other.mPriority) <=
-                            std::tuple(own.mLong, own.mPriority);
-    ahead += work.mStage == reservation_stage::Prefilling && goesBefore
+    const bool isAhead = std::tuple(other.mLong, other.mPriority) <=
+                         std::tuple(own.mLong, own.mPriority);
+    ahead += work.mStage == reservation_stage::Prefilling && isAhead
                ? work.mPrefillTokensLeft
                : 0;
   }
@@ -297,63 +302,63 @@
 }
 
 double
-EstimateFirstToken(agent_state& aBoard, const request_shape& aShape)
+EstimateFirstToken(agent_state& aState, const request_shape& aShape)
 {
   const double unread =
-    QueuedTokensAhead(aBoard, aShape) + UncachedPromptTokens(aBoard, aShape);
-  const double reading = unread / PrefillRate(aBoard);
+    QueuedTokensAhead(aState, aShape) + UncachedPromptTokens(aState, aShape);
+  const double reading = unread / PrefillRate(aState);
   const double step =
-    StepSeconds(aBoard.mShape, RunningSequences(aBoard) + 1, 0, aBoard.mUsed);
-  return reading + step + EstimateMemoryWait(aBoard, aShape.MemoryTokens());
+    StepSeconds(aState.mShape, RunningSequences(aState) + 1, 0, aState.mUsed);
+  return reading + step + EstimateMemoryWait(aState, aShape.MemoryTokens());
 }
 
 refusal
-ImmediateRefusal(const agent_state& aBoard, const request_shape& aShape)
+ImmediateRefusal(const agent_state& aState, const request_shape& aShape)
 {
-  if (aBoard.mLeaving) {
+  if (aState.mLeaving) {
     return refusal::Leaving;
   }
-  if (!aBoard.mEngineUp) {
+  if (!aState.mEngineUp) {
     return refusal::EngineDown;
   }
-  if (aShape.mModel != aBoard.mModel) {
+  if (aShape.mModel != aState.mModel) {
     return refusal::WrongModel;
   }
-  if (aShape.MemoryTokens() > aBoard.mShape.mCapacity) {
+  if (aShape.MemoryTokens() > aState.mShape.mCapacity) {
     return refusal::NoRoom;
   }
   return refusal::None;
 }
 
 double
-CurrentStepSlowdown(const agent_state& aBoard)
+CurrentStepSlowdown(const agent_state& aState)
 {
-  const engine_shape& shape = aBoard.mShape;
-  const double unread = PrefillTokensLeft(aBoard, false);
+  const engine_shape& shape = aState.mShape;
+  const double unread = PrefillTokensLeft(aState, false);
   const tokens read = std::min(shape.mChunk, static_cast<tokens>(unread));
   const double now =
-    StepSeconds(shape, RunningSequences(aBoard), read, aBoard.mUsed);
+    StepSeconds(shape, RunningSequences(aState), read, aState.mUsed);
   return now / StepSeconds(shape, 1, 0, 0);
 }
 
 } // namespace
 
 probe_answer
-Probe(agent_state& aBoard, const request_shape& aShape, time_point aNow)
+Probe(agent_state& aState, const request_shape& aShape, time_point aNow)
 {
-  AdvancePrefill(aBoard, aNow);
+  AdvancePrefill(aState, aNow);
   probe_answer answer;
-  answer.mRefusal = ImmediateRefusal(aBoard, aShape);
-  answer.mFirstTokenSeconds = EstimateFirstToken(aBoard, aShape);
-  answer.mFreeMemoryTokens = FreeTokens(aBoard);
-  answer.mCapacity = aBoard.mShape.mCapacity;
-  answer.mCachedTokens = aBoard.mCache.CachedTokens(aShape.mPrefixHashes);
+  answer.mRefusal = ImmediateRefusal(aState, aShape);
+  answer.mFirstTokenSeconds = EstimateFirstToken(aState, aShape);
+  answer.mFreeMemoryTokens = FreeTokens(aState);
+  answer.mCapacity = aState.mShape.mCapacity;
+  answer.mCachedTokens = aState.mCache.CachedTokens(aShape.mPrefixHashes);
   answer.mRunningSequences =
-    static_cast<std::uint32_t>(RunningSequences(aBoard));
-  answer.mStepSlowdown = CurrentStepSlowdown(aBoard);
+    static_cast<std::uint32_t>(RunningSequences(aState));
+  answer.mStepSlowdown = CurrentStepSlowdown(aState);
   double queued = 0;
   double queuedLong = 0;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const double unread =
       work.mStage == reservation_stage::Waiting
         ? static_cast<double>(work.mReservation.mShape.mPromptTokens)
@@ -367,61 +372,64 @@
 }
 
 refusal
-Reserve(agent_state& aBoard, const reservation& aReservation, time_point aNow)
+Reserve(agent_state& aState, const reservation& aReservation, time_point aNow)
 {
-  AdvancePrefill(aBoard, aNow);
-  const refusal now = ImmediateRefusal(aBoard, aReservation.mShape);
+  AdvancePrefill(aState, aNow);
+  const refusal now = ImmediateRefusal(aState, aReservation.mShape);
   if (now != refusal::None) {
     return now;
   }
-  if (aBoard.mWork.contains(aReservation.mAttempt)) {
+  if (aState.mWork.contains(aReservation.mAttempt)) {
     return refusal::Duplicate;
   }
   if (aReservation.mDeadline <= aNow) {
     return refusal::TooLate;
   }
   const std::size_t waiting = static_cast<std::size_t>(std::count_if(
-    aBoard.mWork.begin(), aBoard.mWork.end(), [](const auto& aItem) {
+    aState.mWork.begin(), aState.mWork.end(), [](const auto& aItem) {
       return aItem.second.mStage == reservation_stage::Waiting;
     }));
-  if (waiting >= aBoard.mLimits.mMaxQueueLength) {
+  if (waiting >= aState.mLimits.mMaxQueueLength) {
     return refusal::NoRoom;
   }
-  const double first = EstimateFirstToken(aBoard, aReservation.mShape);
+  const double first = EstimateFirstToken(aState, aReservation.mShape);
   if (aNow + FromSeconds(first) > aReservation.mDeadline) {
     return refusal::TooLate;
   }
   reservation_state work;
   work.mReservation = aReservation;
   work.mReservation.mArrival = aNow;
-  work.mArrivalOrder = aBoard.mNextArrivalOrder++;
-  aBoard.mWork.emplace(aReservation.mAttempt, std::move(work));
+  work.mArrivalOrder = aState.mNextArrivalOrder++;
+  aState.mWork.emplace(aReservation.mAttempt, std::move(work));
   return refusal::None;
 }
 
 namespace {
 
-/// The first waiting work, in order, that fits now; null if none does.
+/// The first waiting reservation in rank order that fits now; null if none
+/// does.
 reservation_state*
-PickNext(agent_state& aBoard,
-         const memory_holder_totals& aSums,
-         double aWindow,
+PickNext(agent_state& aState,
+         const memory_holder_totals& aTotals,
+         double aEngineQueueTokens,
          time_point aNow)
 {
-  tokens longWaits =
-    0; // MemoryTokens of the first long one that waits for memory.
-  for (const ranked_reservation& next : WaitingByRank(aBoard, aNow)) {
+  // Memory needed by the first long prompt that waits for memory; 0 if none
+  // waits.
+  tokens waitingLongTokens = 0;
+  for (const ranked_reservation& next : WaitingByRank(aState, aNow)) {
     reservation_state& work = *next.mWork;
     const bool isLong = work.mReservation.mShape.mLong;
-    const bool passesLong = isLong && longWaits > 0;
-    if (passesLong || !FitsLongPrefillLimit(aBoard, aSums, work) ||
-        !FitsEngineQueue(aSums, aWindow, work)) {
+    const bool overtakesLong = isLong && waitingLongTokens > 0;
+    if (overtakesLong || !FitsLongPrefillLimit(aState, aTotals, work) ||
+        !FitsEngineQueue(aTotals, aEngineQueueTokens, work)) {
       continue;
     }
-    if (FitsMemory(aBoard, aSums, work, longWaits)) {
+    if (FitsMemory(aState, aTotals, work, waitingLongTokens)) {
       return &work;
     }
-    longWaits = isLong ? work.mReservation.mShape.MemoryTokens() : longWaits;
+    waitingLongTokens =
+      isLong ? work.mReservation.mShape.MemoryTokens() : waitingLongTokens;
   }
   return nullptr;
 }
@@ -429,105 +437,107 @@
 } // namespace
 
 std::vector<std::string>
-Dispatch(agent_state& aBoard, time_point aNow)
+Dispatch(agent_state& aState, time_point aNow)
 {
-  AdvancePrefill(aBoard, aNow);
+  AdvancePrefill(aState, aNow);
   std::vector<std::string> granted;
-  memory_holder_totals sums = TotalsOf(aBoard);
-  const double window =
-    aBoard.mLimits.mEngineQueueSeconds * PrefillRate(aBoard);
-  // Each grant changes the shares and so the order of the rest; the next is
-  // picked in a new order until nothing more fits.
-  while (FitsBatch(aBoard, sums, aNow)) {
-    reservation_state* const next = PickNext(aBoard, sums, window, aNow);
+  memory_holder_totals totals = TotalsOf(aState);
+  const double engineQueueTokens =
+    aState.mLimits.mEngineQueueSeconds * PrefillRate(aState);
+  // Each grant changes the fair shares and so the rank of the rest: the queue
+  // is ranked again before each grant, until nothing more fits.
+  while (FitsBatch(aState, totals, aNow)) {
+    reservation_state* const next =
+      PickNext(aState, totals, engineQueueTokens, aNow);
     if (next == nullptr) {
       break;
     }
-    Grant(aBoard, *next, aNow);
-    AddToTotals(sums, *next);
+    Grant(aState, *next, aNow);
+    AddToTotals(totals, *next);
     granted.push_back(next->mReservation.mAttempt);
   }
-  PruneServedShares(aBoard);
+  PruneServedShares(aState);
   return granted;
 }
 
 bool
-StartPrefill(agent_state& aBoard, const std::string& aAttempt, time_point aNow)
+StartPrefill(agent_state& aState, const std::string& aAttempt, time_point aNow)
 {
-  const auto found = aBoard.mWork.find(aAttempt);
-  if (found == aBoard.mWork.end()) {
+  const auto found = aState.mWork.find(aAttempt);
+  if (found == aState.mWork.end()) {
     return false;
   }
   reservation_state& work = found->second;
-  // A process that was paused may come here long after its lease or deadline
-  // passed. The clock is read again before the act, not before the pause.
+  // A process that was paused may reach this point long after its lease or
+  // deadline passed, so both are checked against the current time before
+  // anything is sent to the engine.
   const bool stale = work.mStage != reservation_stage::Granted ||
                      aNow >= work.mLeaseEnd ||
                      aNow >= work.mReservation.mDeadline;
   if (stale) {
     return false;
   }
-  AdvancePrefill(aBoard, aNow);
-  const double ahead = PrefillTokensAhead(aBoard, work);
+  AdvancePrefill(aState, aNow);
+  const double ahead = PrefillTokensAhead(aState, work);
   work.mStage = reservation_stage::Prefilling;
   work.mPrefillStartedAt = aNow;
   work.mPredictedPrefillSeconds =
-    (ahead + work.mPrefillTokensLeft) / PrefillRate(aBoard);
+    (ahead + work.mPrefillTokensLeft) / PrefillRate(aState);
   return true;
 }
 
 void
-RecordFirstToken(agent_state& aBoard,
+RecordFirstToken(agent_state& aState,
                  const std::string& aAttempt,
                  time_point aNow)
 {
-  const auto found = aBoard.mWork.find(aAttempt);
-  if (found == aBoard.mWork.end() ||
+  const auto found = aState.mWork.find(aAttempt);
+  if (found == aState.mWork.end() ||
       found->second.mStage != reservation_stage::Prefilling) {
     return;
   }
-  AdvancePrefill(aBoard, aNow);
+  AdvancePrefill(aState, aNow);
   reservation_state& work = found->second;
-  // How long the reading took against how long it was thought to take tells
-  // how far the engine's shape in the settings is off.
-  constexpr double kWorthMeasuring = 0.05;
-  if (work.mPredictedPrefillSeconds > kWorthMeasuring) {
-    const double took = Seconds(aNow - work.mPrefillStartedAt);
+  // The ratio of measured to predicted prefill time shows how far the speed in
+  // the settings is off for this engine.
+  constexpr double kMinMeasurableSeconds = 0.05;
+  if (work.mPredictedPrefillSeconds > kMinMeasurableSeconds) {
+    const double measured = Seconds(aNow - work.mPrefillStartedAt);
     const double ratio =
-      std::clamp(took / work.mPredictedPrefillSeconds, 0.5, 2.0);
-    aBoard.mPrefillSlowdown =
-      std::clamp(aBoard.mPrefillSlowdown * (1 + kSmoothingFactor * (ratio - 1)),
+      std::clamp(measured / work.mPredictedPrefillSeconds, 0.5, 2.0);
+    aState.mPrefillSlowdown =
+      std::clamp(aState.mPrefillSlowdown * (1 + kSmoothingFactor * (ratio - 1)),
                  kMinSlowdown,
                  kMaxSlowdown);
   }
   work.mPrefillTokensLeft = 0;
   work.mStage = reservation_stage::Decoding;
-  aBoard.mCache.Insert(work.mReservation.mShape.mPrefixHashes);
+  aState.mCache.Insert(work.mReservation.mShape.mPrefixHashes);
 }
 
 void
-Release(agent_state& aBoard, const std::string& aAttempt, time_point aNow)
+Release(agent_state& aState, const std::string& aAttempt, time_point aNow)
 {
-  const auto found = aBoard.mWork.find(aAttempt);
-  if (found == aBoard.mWork.end()) {
+  const auto found = aState.mWork.find(aAttempt);
+  if (found == aState.mWork.end()) {
     return;
   }
-  AdvancePrefill(aBoard, aNow);
+  AdvancePrefill(aState, aNow);
   const reservation_state& work = found->second;
   if (work.HoldsMemory()) {
-    aBoard.mUsed -= work.mReservation.mShape.MemoryTokens();
-    const double heldFor = Seconds(aNow - work.mGrantedAt);
-    aBoard.mMeanMemoryHoldSeconds +=
-      kSmoothingFactor * (heldFor - aBoard.mMeanMemoryHoldSeconds);
+    aState.mUsed -= work.mReservation.mShape.MemoryTokens();
+    const double heldSeconds = Seconds(aNow - work.mGrantedAt);
+    aState.mMeanMemoryHoldSeconds +=
+      kSmoothingFactor * (heldSeconds - aState.mMeanMemoryHoldSeconds);
   }
-  aBoard.mWork.erase(found);
+  aState.mWork.erase(found);
 }
 
 bool
-Renew(agent_state& aBoard, const std::string& aAttempt, time_point aNow)
+Renew(agent_state& aState, const std::string& aAttempt, time_point aNow)
 {
-  const auto found = aBoard.mWork.find(aAttempt);
-  if (found == aBoard.mWork.end() || !found->second.HoldsMemory()) {
+  const auto found = aState.mWork.find(aAttempt);
+  if (found == aState.mWork.end() || !found->second.HoldsMemory()) {
     return false;
   }
   reservation_state& work = found->second;
@@ -567,10 +577,10 @@
 } // namespace
 
 std::vector<expired_reservation>
-Expire(agent_state& aBoard, time_point aNow)
+Expire(agent_state& aState, time_point aNow)
 {
   std::vector<expired_reservation> expired;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const std::optional<expiry_cause> cause = ExpiryCauseOf(work, aNow);
     if (cause) {
       expired.push_back(
@@ -578,16 +588,16 @@
     }
   }
   for (const expired_reservation& item : expired) {
-    Release(aBoard, item.mAttempt, aNow);
+    Release(aState, item.mAttempt, aNow);
   }
   return expired;
 }
 
 std::optional<time_point>
-NextExpiry(const agent_state& aBoard)
+NextExpiry(const agent_state& aState)
 {
   std::optional<time_point> next;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     const time_point own = work.mStage == reservation_stage::Waiting
                              ? work.mReservation.mWaitUntil
                              : work.mLeaseEnd;
@@ -598,17 +608,17 @@
 }
 
 std::vector<std::string>
-StartDrain(agent_state& aBoard)
+StartDrain(agent_state& aState)
 {
-  aBoard.mLeaving = true;
+  aState.mLeaving = true;
   std::vector<std::string> refused;
-  for (const auto& [attempt, work] : aBoard.mWork) {
+  for (const auto& [attempt, work] : aState.mWork) {
     if (work.mStage == reservation_stage::Waiting) {
       refused.push_back(attempt);
     }
   }
   for (const std::string& attempt : refused) {
-    aBoard.mWork.erase(attempt);
+    aState.mWork.erase(attempt);
   }
   return refused;
 }
--- a/Libraries/LibDecision/StreamCursor.h
+++ b/Libraries/LibDecision/StreamCursor.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Which chunk of an answer may be passed on next. Chunks can come late, twice
-/// or from an attempt that was given up; only the current attempt's next one
-/// reaches the caller.
+/// Filters the chunks of a streamed answer. Chunks may arrive late, twice or
+/// from an abandoned attempt; only the next chunk of the current attempt is
+/// delivered to the caller.
 
 #include "LibCore/LibCore.h"
 
@@ -21,7 +21,7 @@
 enum class chunk_verdict : std::uint8_t
 {
   Deliver,
-  Stale, ///< Another attempt's, or one that was delivered: drop it.
+  Stale, ///< From another attempt or already delivered: dropped.
   Gap,   ///< A chunk is missing: the stream is broken.
 };
 
@@ -30,7 +30,8 @@
             const std::string& aAttempt,
             std::uint64_t aSequence);
 
-/// True if an ending that counts so many chunks ends the whole answer.
+/// True if an end of stream that reports `aChunks` chunks completes the answer,
+/// that is, all of them were delivered.
 bool
 IsCompleteAnswer(const stream_cursor& aCursor,
                  const std::string& aAttempt,
--- a/Libraries/LibModel/Answer.h
+++ b/Libraries/LibModel/Answer.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The answer that the stand-in engine gives: it follows from the prompt alone,
-/// so that whoever sent the prompt can check that the answer is its own and
-/// whole.
+/// The answer text of the stand-in engine. It is derived from the prompt alone,
+/// so the sender of a prompt can check that the answer is complete and belongs
+/// to this prompt.
 
 #include "LibDecision/LibDecision.h"
 
@@ -11,11 +11,11 @@
 
 namespace primrose {
 
-/// The text of one token of the answer, with its trailing blank.
+/// The text of one answer token, including its trailing blank.
 std::string
 AnswerToken(std::uint64_t aPromptHash, tokens aIndex);
 
-/// The whole answer to a prompt.
+/// The complete answer to a prompt.
 std::string
 WholeAnswer(std::string_view aPrompt, tokens aTokens);
 
--- a/Libraries/LibModel/EngineModel.cpp
+++ b/Libraries/LibModel/EngineModel.cpp
@@ -53,7 +53,8 @@
   }
   const tokens cached =
     std::min(aEngine.mCache.CachedTokens(job.mPrefixHashes), job.mPromptTokens);
-  // At least one token is read: the first answer token needs its result.
+  // At least one prompt token is read even if all are cached: its result is
+  // needed for the first answer token.
   const double unread = static_cast<double>(job.mPromptTokens - cached);
   aJob.mPrefillTokensLeft = std::max(1.0, unread * job.mPrefillPart);
   aJob.mStage = job_stage::Prefilling;
@@ -67,11 +68,11 @@
   for (job_state* const job : JobsByPriority(aEngine, job_stage::Waiting)) {
     const bool fits =
       aEngine.mUsed + job->mJob.mReserveTokens <= aEngine.mShape.mCapacity;
-    const bool hasPlace =
+    const bool hasSlot =
       job->mJob.mHoldOnly || batch < aEngine.mShape.mLargestBatch;
-    if (!fits || !hasPlace) {
-      // Nobody passes the first that does not fit; an engine that let small
-      // ones pass would starve the large one.
+    if (!fits || !hasSlot) {
+      // No job overtakes the first one that does not fit: letting small jobs
+      // pass would starve a large one.
       return;
     }
     Admit(aEngine, *job);
@@ -157,8 +158,8 @@
   job_state& job = found->second;
   job.mPrefillTokensLeft -= aPart;
   aEngine.mPrefilledTokens += aPart;
-  constexpr double kRounding = 1e-6;
-  if (job.mPrefillTokensLeft > kRounding) {
+  constexpr double kRoundingError = 1e-6;
+  if (job.mPrefillTokensLeft > kRoundingError) {
     return;
   }
   if (job.mJob.mGroupPart) {
--- a/Libraries/LibModel/EngineModel.h
+++ b/Libraries/LibModel/EngineModel.h
@@ -1,17 +1,19 @@
 #pragma once
 
-/// ASSUMPTIONS of the model, all in `engine_shape` and so settable:
-/// - an engine works in steps; a step reads up to `mChunk` prompt tokens, in
-///   the order of priority and then arrival, and writes one token for each
-///   sequence whose prompt is read;
-/// - a step's time is linear: a base, so much for each writing sequence, for
-///   each prompt token read and for each resident token;
-/// - a sequence holds memory for its whole prompt and its longest answer from
-///   its admission to its end; one that does not fit waits in the engine;
-/// - prefixes of finished prompts stay cached in memory that is free, the
-///   least recently used going first;
-/// - a prompt spread over several engines is read by each of them in equal
-///   parts; `kGroupEfficiency` of each further engine's speed is gained.
+/// Simulated engine. Assumptions of the model; their parameters are in
+/// `engine_shape` and can be set:
+/// - An engine works in steps. A step reads up to `mChunk` prompt tokens, in
+///   the order of priority and then arrival, and decodes one token for each
+///   sequence whose prompt has been read.
+/// - The duration of a step is linear: a base time plus a time for each
+///   decoding sequence, each prompt token read and each resident token.
+/// - A sequence holds memory for its whole prompt and its longest answer from
+///   its admission to its end. A sequence that does not fit waits in the
+///   engine.
+/// - Prefixes of finished prompts stay cached in free memory; the least
+///   recently used are evicted first.
+/// - A prompt that is spread over several engines is read by each of them in
+///   equal parts. Each further engine adds `kGroupEfficiency` of its speed.
 
 #include "LibDecision/LibDecision.h"
 
@@ -22,23 +24,26 @@
 
 namespace primrose {
 
-/// What an engine gains from each further one that reads the same prompt.
+/// Part of a further engine's prefill speed that is gained when it reads parts
+/// of the same prompt.
 inline constexpr double kGroupEfficiency = 0.9;
 
 struct engine_job
 {
   std::string mId;
   tokens mPromptTokens = 0;
-  tokens mOutputTokens = 0;  ///< Tokens that it will write.
-  tokens mReserveTokens = 0; ///< Memory that it holds.
+  tokens mOutputTokens = 0;  ///< Tokens that it will decode.
+  tokens mReserveTokens = 0; ///< Memory tokens that it holds.
   std::vector<std::uint64_t> mPrefixHashes;
   unsigned mPriority = 1;
-  /// Part of the prompt's reading that this engine does itself, 0 to 1.
+  /// Part of the prompt that this engine reads itself, 0 to 1.
   double mPrefillPart = 1;
-  /// Memory held for another engine's prompt; ends only by being cancelled.
+  /// Only holds memory for another engine's prompt; ends only when it is
+  /// cancelled.
   bool mHoldOnly = false;
-  /// A part of a prompt that several engines read: when it is read the job
-  /// holds its memory until `BeginDecoding`, or for a member until cancelled.
+  /// One part of a prompt that several engines read. After its prefill the job
+  /// holds its memory: the lead until `BeginDecoding`, a member until it is
+  /// cancelled.
   bool mGroupPart = false;
 
   bool operator==(const engine_job&) const = default;
@@ -46,7 +51,7 @@
 
 enum class job_stage : std::uint8_t
 {
-  Waiting, ///< Not enough memory or no place in the batch.
+  Waiting, ///< Not enough memory or no free slot in the batch.
   Prefilling,
   Decoding,
   Holding,
@@ -63,13 +68,13 @@
   bool operator==(const job_state&) const = default;
 };
 
-/// A token that a step wrote.
+/// A token that a step decoded.
 struct engine_output
 {
   std::string mId;
   tokens mIndex = 0;
   bool mLast = false;
-  /// Not a token: a group's part has been read.
+  /// Not a token: the prefill of a group's part has ended.
   bool mPartPrefilled = false;
 
   bool operator==(const engine_output&) const = default;
@@ -82,10 +87,12 @@
   tokens mUsed = 0;
   prefix_cache mCache;
   std::optional<time_point> mStepEnds;
-  /// What the step under way reads and writes, by job.
+  /// The work of the current step: prompt tokens read by each job, and the jobs
+  /// that decode.
   std::map<std::string, double> mStepPrefills;
   std::vector<std::string> mStepDecodes;
-  double mStepTimeFactor = 1; ///< A fault: every step takes so much longer.
+  /// Injected fault: multiplies the duration of every step.
+  double mStepTimeFactor = 1;
   std::uint64_t mNextArrivalOrder = 0;
   std::uint64_t mSteps = 0;
   double mPrefilledTokens = 0;
@@ -96,23 +103,23 @@
 engine_model
 MakeEngine(const engine_shape& aShape);
 
-/// Takes a job. False: its memory is larger than the engine's, or the id is
-/// taken.
+/// Submits a job. Returns false if it needs more memory than the engine has, or
+/// if its id is in use.
 bool
 Submit(engine_model& aEngine, const engine_job& aJob, time_point aNow);
-/// Ends a job at once and frees its memory; false if there is none.
+/// Ends a job at once and frees its memory; false if there is no such job.
 bool
 Cancel(engine_model& aEngine, const std::string& aId);
-/// All parts of the group have been read: its lead writes. False if the job
-/// is not there or not ready.
+/// Starts decoding on the lead after all parts of its group have been read.
+/// Returns false if the job does not exist or is not ready.
 bool
 BeginDecoding(engine_model& aEngine, const std::string& aId, time_point aNow);
-/// If the time of the step under way has come, ends it, gives what it wrote
-/// and begins the next.
+/// If the current step has ended by `aNow`, returns its output and begins the
+/// next step.
 std::vector<engine_output>
 Advance(engine_model& aEngine, time_point aNow);
 
-/// Prompt tokens that wait or are being read.
+/// Prompt tokens that wait to be read or are being read.
 double
 PendingPrefillTokens(const engine_model& aEngine);
 
--- a/Libraries/LibModel/LibModel.h
+++ b/Libraries/LibModel/LibModel.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// LibModel: a small model of a model engine (continuous batching, chunked
-/// reading of prompts, bounded KV memory, a prefix cache, priorities), in
-/// whatever time its caller gives it. The stand-in runs it in real time, tests
-/// and experiments in virtual time.
+/// LibModel: a simulation of an inference engine (continuous batching, chunked
+/// prefill, bounded KV memory, prefix cache, priorities). The caller supplies
+/// the time: the stand-in engine runs it in real time, tests and experiments in
+/// virtual time.
 
 #include "LibModel/Answer.h"
 #include "LibModel/EngineModel.h"
--- a/Libraries/LibRules/LibRules.h
+++ b/Libraries/LibRules/LibRules.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// LibRules: from the settings tree's values to the structs that decisions
-/// take. The daemons and the experiments use the same functions, so that what
-/// is measured is what runs.
+/// LibRules: converts values of the settings tree into the structs that
+/// LibDecision takes. The daemons and the experiments use the same functions,
+/// so an experiment measures the configuration that runs in production.
 
 #include "LibDecision/LibDecision.h"
 #include "LibSettings/LibSettings.h"
--- a/Tests/Unit/ClaimsTest.cpp
+++ b/Tests/Unit/ClaimsTest.cpp
@@ -1,6 +1,6 @@
-/// Guarded calls at most once, against a store that loses answers, delays
-/// writes and is away, with agents that restart: chosen cases and a stateful
-/// fuzz against an oracle that counts executions.
+/// At-most-once execution of guarded calls against a store that loses answers,
+/// delays writes or is unavailable, with agents that restart: single cases and
+/// a stateful property test whose oracle counts executions.
 
 #include "LibDecision/LibDecision.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The platform's table, as simple as can be.
+/// A minimal model of the platform's table.
 struct table
 {
   std::map<std::string, claim_row> mRows;
@@ -47,24 +47,27 @@
 }
 
 void
-Want(claim_registry& aBoard,
-     const std::string& aKey,
-     const std::string& aAttempt)
+Queue(claim_registry& aRegistry,
+      const std::string& aKey,
+      const std::string& aAttempt)
 {
-  QueueClaim(aBoard, aKey, aAttempt, 7, At(1000000), At(0), wall_time{});
+  QueueClaim(aRegistry, aKey, aAttempt, 7, At(1000000), At(0), wall_time{});
 }
 
 constexpr int kKeys = 3;
 constexpr int kAgents = 2;
 
-/// The system under the fuzz: agents, the table, transactions on their way.
+/// The system under the property test: agents, the table and delayed
+/// transactions.
 struct system_under_test
 {
   claim_registry mAgents[kAgents];
   table mTable;
-  std::vector<std::vector<claim_write>> mDelayed; ///< Will reach the table.
-  std::map<std::string, int> mExecutions;         ///< By key.
-  std::set<std::string> mNotRun;   ///< Attempts whose caller was told so.
+  /// Not yet applied to the table.
+  std::vector<std::vector<claim_write>> mDelayed;
+  std::map<std::string, int> mExecutions; ///< By key.
+  /// Attempts whose caller was informed that they did not run.
+  std::set<std::string> mReportedNotRun;
   std::set<std::string> mExecuted; ///< Attempts that ran.
   random_engine mRandom{ 1 };
   int mTime = 0;
@@ -79,7 +82,7 @@
 
 using command = rc::state::Command<model, system_under_test>;
 
-struct ask : command
+struct queue_claim : command
 {
   int mAgent = *rc::gen::inRange(0, kAgents);
   int mKey = *rc::gen::inRange(0, kKeys);
@@ -89,37 +92,40 @@
     const std::string key = "k" + std::to_string(mKey);
     const std::string attempt = "a" + std::to_string(aSystem.mNext++);
     aSystem.mKeyOf[attempt] = key;
-    Want(aSystem.mAgents[mAgent], key, attempt);
+    Queue(aSystem.mAgents[mAgent], key, attempt);
   }
 };
 
-/// The agent sends its next transaction; its fate is drawn.
+/// The agent sends its next transaction; the outcome is chosen at random.
 struct write_store : command
 {
   int mAgent = *rc::gen::inRange(0, kAgents);
-  int mFate = *rc::gen::inRange(0, 4);
+  int mOutcome = *rc::gen::inRange(0, 4);
 
   void run(const model&, system_under_test& aSystem) const override
   {
     aSystem.mTime += 10000;
-    claim_registry& board = aSystem.mAgents[mAgent];
+    claim_registry& registry = aSystem.mAgents[mAgent];
     const std::vector<claim_write> writes =
-      TakeWrites(board, At(aSystem.mTime));
+      TakeWrites(registry, At(aSystem.mTime));
     if (writes.empty()) {
       return;
     }
     const time_point now = At(aSystem.mTime);
-    if (mFate == 0) { // Lost on the way there.
-      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
-    } else if (mFate == 1) { // Took effect; the answer was lost.
+    if (mOutcome == 0) { // Lost before it reached the table.
+      RecordWriteOutcome(
+        registry, write_outcome::Lost, {}, now, aSystem.mRandom);
+    } else if (mOutcome == 1) { // Took effect; the answer was lost.
       aSystem.mTable.Write(writes);
-      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
-    } else if (mFate == 2) { // Reaches the table later.
+      RecordWriteOutcome(
+        registry, write_outcome::Lost, {}, now, aSystem.mRandom);
+    } else if (mOutcome == 2) { // Reaches the table later.
       aSystem.mDelayed.push_back(writes);
-      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
+      RecordWriteOutcome(
+        registry, write_outcome::Lost, {}, now, aSystem.mRandom);
     } else {
       const std::vector<std::string> conflicts = aSystem.mTable.Write(writes);
-      RecordWriteOutcome(board,
+      RecordWriteOutcome(registry,
                          conflicts.empty() ? write_outcome::Committed
                                            : write_outcome::Conflict,
                          conflicts,
@@ -129,7 +135,7 @@
   }
 };
 
-struct late_write_arrives : command
+struct delayed_write_arrives : command
 {
   void run(const model&, system_under_test& aSystem) const override
   {
@@ -148,8 +154,9 @@
   void run(const model&, system_under_test& aSystem) const override
   {
     aSystem.mTime += 10000;
-    claim_registry& board = aSystem.mAgents[mAgent];
-    const std::vector<std::string> keys = TakeReads(board, At(aSystem.mTime));
+    claim_registry& registry = aSystem.mAgents[mAgent];
+    const std::vector<std::string> keys =
+      TakeReads(registry, At(aSystem.mTime));
     if (keys.empty()) {
       return;
     }
@@ -157,11 +164,12 @@
     if (!mFails) {
       rows = aSystem.mTable.mRows;
     }
-    RecordReadBack(board, rows, At(aSystem.mTime), aSystem.mRandom);
+    RecordReadBack(registry, rows, At(aSystem.mTime), aSystem.mRandom);
   }
 };
 
-/// The agent runs whatever it holds; some of it ends, some is cut off.
+/// The agent runs every claim that it holds. The calls either end or are cut
+/// off without an outcome.
 struct run_held : command
 {
   int mAgent = *rc::gen::inRange(0, kAgents);
@@ -169,45 +177,46 @@
 
   void run(const model&, system_under_test& aSystem) const override
   {
-    claim_registry& board = aSystem.mAgents[mAgent];
+    claim_registry& registry = aSystem.mAgents[mAgent];
     std::vector<std::string> attempts;
-    for (const auto& [attempt, claim] : board.mClaims) {
+    for (const auto& [attempt, claim] : registry.mClaims) {
       attempts.push_back(attempt);
     }
     for (const std::string& attempt : attempts) {
-      if (!BeginExecution(board, attempt, At(0))) {
+      if (!BeginExecution(registry, attempt, At(0))) {
         continue;
       }
       const int count = ++aSystem.mExecutions[aSystem.mKeyOf[attempt]];
       aSystem.mExecuted.insert(attempt);
       RC_ASSERT(count == 1);
-      RC_ASSERT(!aSystem.mNotRun.contains(attempt));
+      RC_ASSERT(!aSystem.mReportedNotRun.contains(attempt));
       if (mEnds) {
-        RecordExecution(board, attempt, {});
+        RecordExecution(registry, attempt, {});
       } else {
-        DropClaim(board, attempt);
+        DropClaim(registry, attempt);
       }
     }
   }
 };
 
-struct give_up : command
+struct abandon_claim : command
 {
   int mAgent = *rc::gen::inRange(0, kAgents);
   int mWhich = *rc::gen::inRange(0, 8);
 
   void run(const model&, system_under_test& aSystem) const override
   {
-    claim_registry& board = aSystem.mAgents[mAgent];
-    if (board.mClaims.empty()) {
+    claim_registry& registry = aSystem.mAgents[mAgent];
+    if (registry.mClaims.empty()) {
       return;
     }
-    const auto chosen = std::next(
-      board.mClaims.begin(), mWhich % static_cast<int>(board.mClaims.size()));
+    const auto chosen =
+      std::next(registry.mClaims.begin(),
+                mWhich % static_cast<int>(registry.mClaims.size()));
     const std::string attempt = chosen->first;
-    if (GiveUp(board, attempt, At(aSystem.mTime))) {
+    if (GiveUp(registry, attempt, At(aSystem.mTime))) {
       RC_ASSERT(!aSystem.mExecuted.contains(attempt));
-      aSystem.mNotRun.insert(attempt);
+      aSystem.mReportedNotRun.insert(attempt);
     }
   }
 };
@@ -236,23 +245,23 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  /// Symptom: a call is refused although its claim stood, or runs unclaimed.
-  /// Sequence: the transaction takes effect, its answer is lost.
-  /// Cause: taking a lost answer for a yes or a no.
+  /// Guards against treating a lost answer of the store as success or failure:
+  /// the transaction took effect but its answer was lost, and the call is
+  /// refused although its key is claimed, or runs without a claim.
   void LostAnswerIsReadBack()
   {
     random_engine random(1);
-    claim_registry board;
+    claim_registry registry;
     table store;
-    Want(board, "k", "a1");
-    store.Write(TakeWrites(board, At(0)));
-    RecordWriteOutcome(board, write_outcome::Lost, {}, At(0), random);
-    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(0)));
-    const std::vector<std::string> keys = TakeReads(board, At(60000));
+    Queue(registry, "k", "a1");
+    store.Write(TakeWrites(registry, At(0)));
+    RecordWriteOutcome(registry, write_outcome::Lost, {}, At(0), random);
+    CPPUNIT_ASSERT(!BeginExecution(registry, "a1", At(0)));
+    const std::vector<std::string> keys = TakeReads(registry, At(60000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), keys.size());
-    RecordReadBack(board, store.mRows, At(60000), random);
-    CPPUNIT_ASSERT(BeginExecution(board, "a1", At(60000)));
-    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(60000)));
+    RecordReadBack(registry, store.mRows, At(60000), random);
+    CPPUNIT_ASSERT(BeginExecution(registry, "a1", At(60000)));
+    CPPUNIT_ASSERT(!BeginExecution(registry, "a1", At(60000)));
   }
 
   void SecondAgentFindsKeyTaken()
@@ -261,10 +270,10 @@
     claim_registry first;
     claim_registry second;
     table store;
-    Want(first, "k", "a1");
+    Queue(first, "k", "a1");
     store.Write(TakeWrites(first, At(0)));
     RecordWriteOutcome(first, write_outcome::Committed, {}, At(0), random);
-    Want(second, "k", "b1");
+    Queue(second, "k", "b1");
     const std::vector<std::string> conflicts =
       store.Write(TakeWrites(second, At(0)));
     RecordWriteOutcome(
@@ -276,78 +285,79 @@
     CPPUNIT_ASSERT(BeginExecution(first, "a1", At(0)));
   }
 
-  /// Symptom: a call runs after its caller was told that it did not.
-  /// Sequence: the claim is held; the agent is paused past the deadline.
-  /// Cause: running on the belief from before the pause.
+  /// Guards against running a call after its caller was informed that it did
+  /// not run: the agent holds the claim but is paused beyond the deadline.
   void ClaimPastDeadlineDoesNotRun()
   {
     random_engine random(1);
-    claim_registry board;
+    claim_registry registry;
     table store;
-    Want(board, "k", "a1");
-    store.Write(TakeWrites(board, At(0)));
-    RecordWriteOutcome(board, write_outcome::Committed, {}, At(0), random);
-    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(2000000)));
+    Queue(registry, "k", "a1");
+    store.Write(TakeWrites(registry, At(0)));
+    RecordWriteOutcome(registry, write_outcome::Committed, {}, At(0), random);
+    CPPUNIT_ASSERT(!BeginExecution(registry, "a1", At(2000000)));
   }
 
-  /// Symptom: a key that never ran answers "outcome unknown" to its repeat.
-  /// Sequence: the claim's write is slow, the call is given up, the write
-  /// lands, the caller repeats.
-  /// Cause: forgetting that the attempt in the row was given up here.
+  /// Guards against answering "outcome unknown" for a key that never ran: the
+  /// claim's write is slow, the call is abandoned, the write takes effect, and
+  /// the caller repeats the call. The agent must recognise the row of its
+  /// abandoned attempt.
   void AbandonedClaimIsReplaced()
   {
     random_engine random(1);
-    claim_registry board;
+    claim_registry registry;
     table store;
-    Want(board, "k", "a1");
-    const std::vector<claim_write> slow = TakeWrites(board, At(0));
-    CPPUNIT_ASSERT(GiveUp(board, "a1", At(10)));
-    RecordWriteOutcome(board, write_outcome::Lost, {}, At(10), random);
+    Queue(registry, "k", "a1");
+    const std::vector<claim_write> slow = TakeWrites(registry, At(0));
+    CPPUNIT_ASSERT(GiveUp(registry, "a1", At(10)));
+    RecordWriteOutcome(registry, write_outcome::Lost, {}, At(10), random);
     store.Write(slow);
-    Want(board, "k", "a2");
+    Queue(registry, "k", "a2");
     const std::vector<std::string> conflicts =
-      store.Write(TakeWrites(board, At(5000)));
+      store.Write(TakeWrites(registry, At(5000)));
     RecordWriteOutcome(
-      board, write_outcome::Conflict, conflicts, At(5000), random);
-    TakeReads(board, At(5000));
-    RecordReadBack(board, store.mRows, At(5000), random);
-    store.Write(TakeWrites(board, At(10000)));
-    RecordWriteOutcome(board, write_outcome::Committed, {}, At(10000), random);
-    CPPUNIT_ASSERT(BeginExecution(board, "a2", At(10000)));
-    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(10000)));
+      registry, write_outcome::Conflict, conflicts, At(5000), random);
+    TakeReads(registry, At(5000));
+    RecordReadBack(registry, store.mRows, At(5000), random);
+    store.Write(TakeWrites(registry, At(10000)));
+    RecordWriteOutcome(
+      registry, write_outcome::Committed, {}, At(10000), random);
+    CPPUNIT_ASSERT(BeginExecution(registry, "a2", At(10000)));
+    CPPUNIT_ASSERT(!BeginExecution(registry, "a1", At(10000)));
   }
 
   void WritesAreBatchedOverTime()
   {
     random_engine random(1);
-    claim_registry board;
+    claim_registry registry;
     int writes = 0;
     for (int i = 0; i < 1000; ++i) {
-      Want(board, "k" + std::to_string(i), "a" + std::to_string(i));
+      Queue(registry, "k" + std::to_string(i), "a" + std::to_string(i));
       const time_point now = At(0) + std::chrono::microseconds(100) * i;
-      if (!TakeWrites(board, now).empty()) {
+      if (!TakeWrites(registry, now).empty()) {
         ++writes;
-        RecordWriteOutcome(board, write_outcome::Committed, {}, now, random);
+        RecordWriteOutcome(registry, write_outcome::Committed, {}, now, random);
       }
     }
-    // A thousand calls in a tenth of a second: at most one in 20 ms.
+    // A thousand calls in a tenth of a second, at most one write in 20 ms.
     CPPUNIT_ASSERT(writes <= 6);
   }
 
-  /// Whatever is lost, delayed, paused, restarted or given up: no key runs
-  /// twice, and nothing runs whose caller was told that it did not.
+  /// Whichever answers are lost, writes delayed, agents paused or restarted and
+  /// claims abandoned: no key runs twice, and nothing runs whose caller was
+  /// informed that it did not.
   void NoKeyRunsTwice()
   {
     const bool held = rc::check("claims", []() {
       system_under_test system;
       rc::state::check(model(),
                        system,
-                       rc::state::gen::execOneOfWithArgs<ask,
+                       rc::state::gen::execOneOfWithArgs<queue_claim,
                                                          write_store,
-                                                         late_write_arrives,
+                                                         delayed_write_arrives,
                                                          read_store,
                                                          run_held,
-                                                         give_up,
+                                                         abandon_claim,
                                                          restart_agent>());
     });
     CPPUNIT_ASSERT(held);
