--- a/Libraries/LibDecision/Admission.cpp
+++ b/Libraries/LibDecision/Admission.cpp
@@ -12,12 +12,12 @@
 {
   const double amount = static_cast<double>(aTokens);
   RecordDemand(aUsage.mDemand, amount, aNow);
-  const double concurrent = aLimits.mConcurrentTokens * aLimits.mEntryShare;
+  const double maxInFlight = aLimits.mConcurrentTokens * aLimits.mEntryShare;
   // One request is always allowed: a limit smaller than its prompt would
   // otherwise refuse it for ever.
-  const bool over =
-    aUsage.mTokensInFlight > 0 && aUsage.mTokensInFlight + amount > concurrent;
-  if (over) {
+  const bool isOverConcurrency =
+    aUsage.mTokensInFlight > 0 && aUsage.mTokensInFlight + amount > maxInFlight;
+  if (isOverConcurrency) {
     constexpr double kRetrySeconds = 1;
     return { admission_verdict::OverConcurrency, kRetrySeconds };
   }
--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -101,20 +101,21 @@
   double score = answer.mFirstTokenSeconds;
   const double idleStepSeconds = StepSeconds(aEngine, 1, 0, 0);
   if (!aShape.mLong) {
-    // A short request is delayed by the engine's slowdown at each output token.
-    const double output =
+    // A short request is delayed by the engine's slowdown at each outputTokens
+    // token.
+    const double outputTokens =
       std::min(kAssumedOutputTokens, static_cast<double>(aShape.mMaxTokens));
-    score += aRules.mShortProtection * output * idleStepSeconds *
+    score += aRules.mShortProtection * outputTokens * idleStepSeconds *
              (answer.mStepSlowdown - 1);
   } else {
     // A long prompt slows every sequence running on the engine for the duration
     // of its prefill.
     const double chunkSeconds =
       static_cast<double>(aEngine.mChunk) / aEngine.mPrefillTokensPerSecond;
-    const double part =
+    const double prefillShareOfStep =
       chunkSeconds / StepSeconds(aEngine, 1, aEngine.mChunk, 0);
     score += aRules.mShortProtection *
-             UncontendedPrefillSeconds(aShape, aEngine) * part *
+             UncontendedPrefillSeconds(aShape, aEngine) * prefillShareOfStep *
              answer.mRunningSequences / aEngine.mLargestBatch;
   }
   return score;
--- a/Libraries/LibDecision/Scheduler.cpp
+++ b/Libraries/LibDecision/Scheduler.cpp
@@ -45,8 +45,9 @@
   }
   const auto served =
     aState.mServed.find(aWork.mReservation.mShape.mOrganisation);
-  const double last = served == aState.mServed.end() ? 0 : served->second;
-  return std::max(last, aState.mVirtualTime);
+  const double lastFinishTag =
+    served == aState.mServed.end() ? 0 : served->second;
+  return std::max(lastFinishTag, aState.mVirtualTime);
 }
 
 using rank = std::tuple<double, double, std::uint64_t>;
@@ -83,11 +84,11 @@
 SlowStartFactor(const agent_state& aState, time_point aNow)
 {
   constexpr double kInitialPart = 0.25;
-  const double whole = Seconds(aState.mLimits.mSlowStartDuration);
-  if (whole <= 0) {
+  const double slowStartSeconds = Seconds(aState.mLimits.mSlowStartDuration);
+  if (slowStartSeconds <= 0) {
     return 1;
   }
-  const double part = Seconds(aNow - aState.mStarted) / whole;
+  const double part = Seconds(aNow - aState.mStarted) / slowStartSeconds;
   return std::clamp(part, kInitialPart, 1.0);
 }
 
@@ -205,10 +206,10 @@
   if (aWaitingLongTokens == 0) {
     return true;
   }
-  const tokens forShort =
+  const tokens shortMemoryLimit =
     aState.mShape.mCapacity - LongMemoryLimit(aState, aWaitingLongTokens);
   const tokens used = aTotals.mShortMemory;
-  return used == 0 || used + need <= forShort;
+  return used == 0 || used + need <= shortMemoryLimit;
 }
 
 void
@@ -269,17 +270,18 @@
 double
 EstimateMemoryWait(const agent_state& aState, tokens aNeed)
 {
-  tokens wanted = aNeed;
+  tokens neededTokens = aNeed;
   for (const auto& [attempt, work] : aState.mWork) {
-    wanted += work.mStage == reservation_stage::Waiting
-                ? work.mReservation.mShape.MemoryTokens()
-                : 0;
+    neededTokens += work.mStage == reservation_stage::Waiting
+                      ? work.mReservation.mShape.MemoryTokens()
+                      : 0;
   }
-  const tokens free = FreeTokens(aState);
-  if (wanted <= free) {
+  const tokens freeTokens = FreeTokens(aState);
+  if (neededTokens <= freeTokens) {
     return 0;
   }
-  return aState.mMeanMemoryHoldSeconds * static_cast<double>(wanted - free) /
+  return aState.mMeanMemoryHoldSeconds *
+         static_cast<double>(neededTokens - freeTokens) /
          static_cast<double>(aState.mShape.mCapacity);
 }
 
@@ -304,12 +306,13 @@
 double
 EstimateFirstToken(agent_state& aState, const request_shape& aShape)
 {
-  const double unread =
+  const double prefillTokens =
     QueuedTokensAhead(aState, aShape) + UncachedPromptTokens(aState, aShape);
-  const double reading = unread / PrefillRate(aState);
-  const double step =
+  const double prefillSeconds = prefillTokens / PrefillRate(aState);
+  const double stepSeconds =
     StepSeconds(aState.mShape, RunningSequences(aState) + 1, 0, aState.mUsed);
-  return reading + step + EstimateMemoryWait(aState, aShape.MemoryTokens());
+  return prefillSeconds + stepSeconds +
+         EstimateMemoryWait(aState, aShape.MemoryTokens());
 }
 
 refusal
@@ -334,11 +337,12 @@
 CurrentStepSlowdown(const agent_state& aState)
 {
   const engine_shape& shape = aState.mShape;
-  const double unread = PrefillTokensLeft(aState, false);
-  const tokens read = std::min(shape.mChunk, static_cast<tokens>(unread));
-  const double now =
-    StepSeconds(shape, RunningSequences(aState), read, aState.mUsed);
-  return now / StepSeconds(shape, 1, 0, 0);
+  const double prefillTokens = PrefillTokensLeft(aState, false);
+  const tokens stepPrefillTokens =
+    std::min(shape.mChunk, static_cast<tokens>(prefillTokens));
+  const double currentStepSeconds = StepSeconds(
+    shape, RunningSequences(aState), stepPrefillTokens, aState.mUsed);
+  return currentStepSeconds / StepSeconds(shape, 1, 0, 0);
 }
 
 } // namespace
@@ -359,12 +363,12 @@
   double queued = 0;
   double queuedLong = 0;
   for (const auto& [attempt, work] : aState.mWork) {
-    const double unread =
+    const double prefillTokens =
       work.mStage == reservation_stage::Waiting
         ? static_cast<double>(work.mReservation.mShape.mPromptTokens)
         : work.mPrefillTokensLeft;
-    queued += unread;
-    queuedLong += work.mReservation.mShape.mLong ? unread : 0;
+    queued += prefillTokens;
+    queuedLong += work.mReservation.mShape.mLong ? prefillTokens : 0;
   }
   answer.mQueuedTokens = static_cast<tokens>(queued);
   answer.mLong = static_cast<tokens>(queuedLong);
@@ -375,9 +379,10 @@
 Reserve(agent_state& aState, const reservation& aReservation, time_point aNow)
 {
   AdvancePrefill(aState, aNow);
-  const refusal now = ImmediateRefusal(aState, aReservation.mShape);
-  if (now != refusal::None) {
-    return now;
+  const refusal immediateRefusal =
+    ImmediateRefusal(aState, aReservation.mShape);
+  if (immediateRefusal != refusal::None) {
+    return immediateRefusal;
   }
   if (aState.mWork.contains(aReservation.mAttempt)) {
     return refusal::Duplicate;
@@ -392,8 +397,9 @@
   if (waiting >= aState.mLimits.mMaxQueueLength) {
     return refusal::NoRoom;
   }
-  const double first = EstimateFirstToken(aState, aReservation.mShape);
-  if (aNow + FromSeconds(first) > aReservation.mDeadline) {
+  const double firstTokenSeconds =
+    EstimateFirstToken(aState, aReservation.mShape);
+  if (aNow + FromSeconds(firstTokenSeconds) > aReservation.mDeadline) {
     return refusal::TooLate;
   }
   reservation_state work;
@@ -598,10 +604,10 @@
 {
   std::optional<time_point> next;
   for (const auto& [attempt, work] : aState.mWork) {
-    const time_point own = work.mStage == reservation_stage::Waiting
-                             ? work.mReservation.mWaitUntil
-                             : work.mLeaseEnd;
-    const time_point ends = std::min(own, work.mReservation.mDeadline);
+    const time_point stageEnd = work.mStage == reservation_stage::Waiting
+                                  ? work.mReservation.mWaitUntil
+                                  : work.mLeaseEnd;
+    const time_point ends = std::min(stageEnd, work.mReservation.mDeadline);
     next = next ? std::min(*next, ends) : ends;
   }
   return next;
