--- a/Libraries/LibDecision/Placement.cpp
+++ b/Libraries/LibDecision/Placement.cpp
@@ -101,7 +101,7 @@
   double score = answer.mFirstTokenSeconds;
   const double idleStepSeconds = StepSeconds(aEngine, 1, 0, 0);
   if (!aShape.mLong) {
-    // A short request is delayed by the engine's slowdown at each outputTokens
+    // A short request is delayed by the engine's slowdown at each output
     // token.
     const double outputTokens =
       std::min(kAssumedOutputTokens, static_cast<double>(aShape.mMaxTokens));
