--- a/Libraries/LibDecision/Directory.cpp
+++ b/Libraries/LibDecision/Directory.cpp
@@ -9,8 +9,8 @@
 
 constexpr duration kAvoidanceBase = std::chrono::milliseconds(250);
 constexpr duration kMaxAvoidance = std::chrono::seconds(8);
-/// One lost answer does not count: a slow peer must not be taken for a dead
-/// one. From the second failure in a row the endpoint is avoided.
+/// One lost answer is tolerated, so that a slow endpoint is not taken for a
+/// dead one. From the second failure in a row the endpoint is avoided.
 constexpr unsigned kToleratedFailures = 1;
 
 constexpr std::array<std::string_view, 3> kKindNames = { "engine",
@@ -60,7 +60,7 @@
       change.mLeaving.push_back(listed.mName);
     }
     view.mListed = listed;
-    view.mOrder = Hash(listed.mName);
+    view.mSharedOrder = Hash(listed.mName);
     next.insert_or_assign(listed.mName, std::move(view));
   }
   for (const auto& [name, view] : aDirectory.mEndpoints) {
@@ -98,14 +98,15 @@
   if (view.mFailures <= kToleratedFailures) {
     return;
   }
-  constexpr unsigned kMostDoublings = 6;
+  constexpr unsigned kMaxDoublings = 6;
   const unsigned doublings =
-    std::min(view.mFailures - kToleratedFailures - 1, kMostDoublings);
-  const duration longest =
+    std::min(view.mFailures - kToleratedFailures - 1, kMaxDoublings);
+  const duration bound =
     std::min(kAvoidanceBase * (1U << doublings), kMaxAvoidance);
-  // Between half and all of it, so that entries do not come back as one.
+  // A random time between half and all of the back-off, so that the entries do
+  // not return to the endpoint at the same moment.
   const double part = 0.5 + 0.5 * Uniform(aRandom);
-  view.mAvoidUntil = aNow + FromSeconds(Seconds(longest) * part);
+  view.mAvoidUntil = aNow + FromSeconds(Seconds(bound) * part);
 }
 
 void
@@ -137,7 +138,7 @@
   std::sort(usable.begin(),
             usable.end(),
             [](const endpoint_view* aLeft, const endpoint_view* aRight) {
-              return aLeft->mOrder < aRight->mOrder;
+              return aLeft->mSharedOrder < aRight->mSharedOrder;
             });
   return usable;
 }
--- a/Libraries/LibModel/EngineModel.cpp
+++ b/Libraries/LibModel/EngineModel.cpp
@@ -18,8 +18,8 @@
   std::sort(jobs.begin(),
             jobs.end(),
             [](const job_state* aLeft, const job_state* aRight) {
-              return std::tuple(aLeft->mJob.mPriority, aLeft->mOrder) <
-                     std::tuple(aRight->mJob.mPriority, aRight->mOrder);
+              return std::tuple(aLeft->mJob.mPriority, aLeft->mArrivalOrder) <
+                     std::tuple(aRight->mJob.mPriority, aRight->mArrivalOrder);
             });
   return jobs;
 }
@@ -29,9 +29,9 @@
 {
   return static_cast<std::size_t>(std::count_if(
     aEngine.mJobs.begin(), aEngine.mJobs.end(), [](const auto& aItem) {
-      const job_stage reservation_stage = aItem.second.mStage;
-      return reservation_stage == job_stage::Reading ||
-             reservation_stage == job_stage::Writing;
+      const job_stage jobStage = aItem.second.mStage;
+      return jobStage == job_stage::Prefilling ||
+             jobStage == job_stage::Decoding;
     }));
 }
 
@@ -52,11 +52,12 @@
     return;
   }
   const tokens cached =
-    std::min(aEngine.mCache.Held(job.mPrefixHashes), job.mPromptTokens);
-  // At least one token is read: the first answer token needs its result.
+    std::min(aEngine.mCache.CachedTokens(job.mPrefixHashes), job.mPromptTokens);
+  // At least one prompt token is read even if all are cached: its result is
+  // needed for the first answer token.
   const double unread = static_cast<double>(job.mPromptTokens - cached);
-  aJob.mUnread = std::max(1.0, unread * job.mPrefillPart);
-  aJob.mStage = job_stage::Reading;
+  aJob.mPrefillTokensLeft = std::max(1.0, unread * job.mPrefillPart);
+  aJob.mStage = job_stage::Prefilling;
   ShrinkCacheToFree(aEngine);
 }
 
@@ -67,11 +68,11 @@
   for (job_state* const job : JobsByPriority(aEngine, job_stage::Waiting)) {
     const bool fits =
       aEngine.mUsed + job->mJob.mReserveTokens <= aEngine.mShape.mCapacity;
-    const bool hasPlace =
+    const bool hasSlot =
       job->mJob.mHoldOnly || batch < aEngine.mShape.mLargestBatch;
-    if (!fits || !hasPlace) {
-      // Nobody passes the first that does not fit; an engine that let small
-      // ones pass would starve the large one.
+    if (!fits || !hasSlot) {
+      // No job overtakes the first one that does not fit: letting small jobs
+      // pass would starve a large one.
       return;
     }
     Admit(aEngine, *job);
@@ -87,8 +88,8 @@
   aEngine.mStepDecodes.clear();
   double budget = static_cast<double>(aEngine.mShape.mChunk);
   for (const job_state* const job :
-       JobsByPriority(aEngine, job_stage::Reading)) {
-    const double part = std::min(budget, job->mUnread);
+       JobsByPriority(aEngine, job_stage::Prefilling)) {
+    const double part = std::min(budget, job->mPrefillTokensLeft);
     if (part <= 0) {
       break;
     }
@@ -96,7 +97,7 @@
     budget -= part;
   }
   for (const auto& [id, job] : aEngine.mJobs) {
-    if (job.mStage == job_stage::Writing) {
+    if (job.mStage == job_stage::Decoding) {
       aEngine.mStepDecodes.push_back(id);
     }
   }
@@ -135,9 +136,9 @@
     return; // Cancelled during the step.
   }
   job_state& job = found->second;
-  const bool last = job.mWritten + 1 >= job.mJob.mOutputTokens;
-  aOutputs.push_back({ aId, job.mWritten, last, false });
-  ++job.mWritten;
+  const bool last = job.mTokensEmitted + 1 >= job.mJob.mOutputTokens;
+  aOutputs.push_back({ aId, job.mTokensEmitted, last, false });
+  ++job.mTokensEmitted;
   ++aEngine.mDecodedTokens;
   if (last) {
     Finish(aEngine, aId);
@@ -155,10 +156,10 @@
     return;
   }
   job_state& job = found->second;
-  job.mUnread -= aPart;
+  job.mPrefillTokensLeft -= aPart;
   aEngine.mPrefilledTokens += aPart;
-  constexpr double kRounding = 1e-6;
-  if (job.mUnread > kRounding) {
+  constexpr double kRoundingError = 1e-6;
+  if (job.mPrefillTokensLeft > kRoundingError) {
     return;
   }
   if (job.mJob.mGroupPart) {
@@ -166,7 +167,7 @@
     aOutputs.push_back({ aId, 0, false, true });
     return;
   }
-  job.mStage = job_stage::Writing;
+  job.mStage = job_stage::Decoding;
   EmitToken(aEngine, aId, aOutputs);
 }
 
@@ -190,7 +191,7 @@
   }
   job_state state;
   state.mJob = aJob;
-  state.mOrder = aEngine.mNextArrivalOrder++;
+  state.mArrivalOrder = aEngine.mNextArrivalOrder++;
   aEngine.mJobs.emplace(aJob.mId, std::move(state));
   if (!aEngine.mStepEnds) {
     BeginStep(aEngine, aNow);
@@ -222,7 +223,7 @@
       !found->second.mJob.mGroupPart) {
     return false;
   }
-  found->second.mStage = job_stage::Writing;
+  found->second.mStage = job_stage::Decoding;
   if (!aEngine.mStepEnds) {
     BeginStep(aEngine, aNow);
   }
@@ -256,7 +257,7 @@
       unread +=
         static_cast<double>(job.mJob.mPromptTokens) * job.mJob.mPrefillPart;
     }
-    unread += job.mStage == job_stage::Reading ? job.mUnread : 0;
+    unread += job.mStage == job_stage::Prefilling ? job.mPrefillTokensLeft : 0;
   }
   return unread;
 }
