--- a/Libraries/LibFleet/Manifest.h
+++ b/Libraries/LibFleet/Manifest.h
@@ -4,7 +4,7 @@
 /// operator accepted them. A manifest is immutable; a new version replaces it
 /// as a whole.
 
-#include "LibFleet/EngineCost.h"
+#include "LibFleet/EngineTiming.h"
 
 #include <memory>
 #include <optional>
