--- a/Libraries/LibFleet/StreamTimeouts.h
+++ b/Libraries/LibFleet/StreamTimeouts.h
@@ -14,7 +14,9 @@
 /// Timeout for the first event of a prompt that is expected after
 /// `aExpectedMs`. `aDivided`: the prefill is divided over several engines.
 duration
-FirstEventTimeout(const engine_work& aWork, double aExpectedMs, bool aDivided);
+FirstEventTimeout(const placement_request& aWork,
+                  double aExpectedMs,
+                  bool aDivided);
 
 /// Timeout between two events of a stream that may pause for `aAllowedPause`.
 duration
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -340,7 +340,7 @@
     }
     ownPlacements.push_back(placed);
     // The prefill of a placement made a while ago is mostly done.
-    ownPlacements.back().mPartMs = 0;
+    ownPlacements.back().mPartPrefillMs = 0;
     if (ownPlacements.size() == kMaxPlacementsPerDatagram) {
       Send(EncodePeerMessage(message, mLoop.Now()), aHost);
       ownPlacements.clear();
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -30,7 +30,7 @@
 
 /// The endpoint that peers identify by this key; null if it is not listed here.
 known_endpoint*
-FindByKey(endpoint_board& aBoard, engine_key aKey)
+FindByKey(endpoint_registry& aBoard, engine_key aKey)
 {
   for (auto& [id, known] : aBoard.mEndpoints) {
     if (EngineKey(id) == aKey) {
@@ -85,8 +85,8 @@
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  RankEntries(aBoard.mRing, hosts);
-  RankEngines(aBoard.mRing, aBoard.mEndpoints);
+  AssignGatewayPositions(aBoard.mRing, hosts);
+  AssignEnginePositions(aBoard.mRing, aBoard.mEndpoints);
   MarkPreferred(aBoard.mEndpoints, aBoard.mRing, aOwnHost);
   aBoard.mRingStale = false;
 }
@@ -184,7 +184,7 @@
       "endpoint_avoided",
       { { "endpoint", known->mListed.mId },
         { "told_by", aHost },
-        { "strikes", known->mHealth.mStrikes },
+        { "strikes", known->mHealth.mBackoffFailures },
         { "for_ms", Milliseconds(known->mHealth.mAvoidUntil - now) } });
 }
 
@@ -243,7 +243,7 @@
         "peer_lost",
         { { "host", peer->first },
           { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
-    ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, peer->second.mBoot, now);
     mCandidateHosts.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
     mBoard.mRingStale = true;
@@ -288,7 +288,7 @@
   const bool isNew =
     known == mBoard.mPeers.end() || known->second.mBoot != aMessage.mBoot;
   if (known != mBoard.mPeers.end() && isNew) {
-    ForgetOwner(mBoard.mLedger, known->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, known->second.mBoot, now);
   }
   mBoard.mPeers[aHost] = {
     aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
@@ -310,22 +310,23 @@
   mBoard.mMetrics.Count("gateway_placements_heard_total",
                         static_cast<double>(aUpdates.mNewPlacements.size()));
   for (const placement& placed : aUpdates.mNewPlacements) {
-    NotePlaced(mBoard.mLedger, placed, now);
+    AddPlacement(mBoard.mLedger, placed, now);
   }
   for (const placement_key key : aUpdates.mEndedPlacements) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Read, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Read, now);
   }
   for (const placement_key key : aUpdates.mEndedBeforePrefill) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Unread, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Unread, now);
   }
   for (const engine_key engine : aUpdates.mHelpRefused) {
     ApplyEndpointUpdate(
       engine, aHost, [](endpoint_health& aHealth, time_point aNow) {
-        NoteSign(aHealth, endpoint_sign::Unwilling, aNow);
+        RecordHealthEvent(
+          aHealth, endpoint_health_event::PrefillHelpRefused, aNow);
       });
   }
   for (const engine_key endpoint : aUpdates.mFailedEndpoints) {
-    ApplyEndpointUpdate(endpoint, aHost, NoteTold);
+    ApplyEndpointUpdate(endpoint, aHost, RecordPeerFailureReport);
   }
   for (const limit_report& limit : aUpdates.mLimits) {
     if (known_endpoint* const known =
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -83,7 +83,7 @@
     aEncoded.initEngines(static_cast<unsigned>(aPlacement.mEngines.size())),
     aPlacement.mEngines);
   aEncoded.setPartMicros(
-    RoundToUint32(aPlacement.mPartMs * kMicrosecondsPerMs));
+    RoundToUint32(aPlacement.mPartPrefillMs * kMicrosecondsPerMs));
   aEncoded.setPauseMs(RoundToMilliseconds(aPlacement.mLongestPause));
   aEncoded.setTokens(RoundToUint32(aPlacement.mTokens));
   aEncoded.setLifeMs(RoundToMilliseconds(aPlacement.mExpires - aNow));
@@ -107,7 +107,7 @@
   decoded.mKey = PlacementKey(aOwner, aEncoded.getSequence());
   decoded.mOwner = aOwner;
   decoded.mEngines = ReadNumbers(aEncoded.getEngines());
-  decoded.mPartMs = aEncoded.getPartMicros() / kMicrosecondsPerMs;
+  decoded.mPartPrefillMs = aEncoded.getPartMicros() / kMicrosecondsPerMs;
   decoded.mLongestPause = std::chrono::milliseconds(aEncoded.getPauseMs());
   decoded.mObjective = std::chrono::milliseconds(aEncoded.getObjectiveMs());
   decoded.mBegan = aNow - std::chrono::milliseconds(aEncoded.getElapsedMs());
