--- a/Libraries/LibFleet/Silence.cpp
+++ b/Libraries/LibFleet/Silence.cpp
@@ -28,7 +28,9 @@
 } // namespace
 
 duration
-FirstEventPatience(const engine_work& aWork, double aExpectedMs, bool aDivided)
+FirstEventPatience(const placement_request& aWork,
+                   double aExpectedMs,
+                   bool aDivided)
 {
   if (aDivided) {
     return FromSeconds(kDividedOfExpected * aExpectedMs / kMsPerSecond) +
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/NewsOutbox.cpp
@@ -324,7 +324,7 @@
     }
     own.push_back(placed);
     // Reading that was placed a while ago is mostly done.
-    own.back().mPartMs = 0;
+    own.back().mPartPrefillMs = 0;
     if (own.size() == kMostPlaced) {
       Send(EncodeNews(message, mLoop.Now()), aHost);
       own.clear();
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerNews.cpp
@@ -27,7 +27,7 @@
 
 /// The endpoint that peers name by this key; null if it is not listed here.
 known_endpoint*
-FindByKey(endpoint_board& aBoard, engine_key aKey)
+FindByKey(endpoint_registry& aBoard, engine_key aKey)
 {
   for (auto& [id, known] : aBoard.mEndpoints) {
     if (EngineKey(id) == aKey) {
@@ -82,8 +82,8 @@
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  RankEntries(aBoard.mRing, hosts);
-  RankEngines(aBoard.mRing, aBoard.mEndpoints);
+  AssignGatewayPositions(aBoard.mRing, hosts);
+  AssignEnginePositions(aBoard.mRing, aBoard.mEndpoints);
   MarkPreferred(aBoard.mEndpoints, aBoard.mRing, aOwnHost);
   aBoard.mRingStale = false;
 }
@@ -181,7 +181,7 @@
       "endpoint_avoided",
       { { "endpoint", known->mListed.mId },
         { "told_by", aHost },
-        { "strikes", known->mHealth.mStrikes },
+        { "strikes", known->mHealth.mBackoffFailures },
         { "for_ms", Milliseconds(known->mHealth.mAvoidUntil - now) } });
 }
 
@@ -240,7 +240,7 @@
         "peer_lost",
         { { "host", peer->first },
           { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
-    ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, peer->second.mBoot, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
     mBoard.mRingStale = true;
@@ -285,7 +285,7 @@
   const bool isNew =
     known == mBoard.mPeers.end() || known->second.mBoot != aMessage.mBoot;
   if (known != mBoard.mPeers.end() && isNew) {
-    ForgetOwner(mBoard.mLedger, known->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, known->second.mBoot, now);
   }
   mBoard.mPeers[aHost] = {
     aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
@@ -306,22 +306,23 @@
   mBoard.mMetrics.Count("gateway_placements_heard_total",
                         static_cast<double>(aNews.mPlaced.size()));
   for (const placement& placed : aNews.mPlaced) {
-    NotePlaced(mBoard.mLedger, placed, now);
+    AddPlacement(mBoard.mLedger, placed, now);
   }
   for (const placement_key key : aNews.mEnded) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Read, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Read, now);
   }
   for (const placement_key key : aNews.mUnread) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Unread, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Unread, now);
   }
   for (const engine_key engine : aNews.mUnwilling) {
     ApplyEndpointNews(
       engine, aHost, [](endpoint_health& aHealth, time_point aNow) {
-        NoteSign(aHealth, endpoint_sign::Unwilling, aNow);
+        RecordHealthEvent(
+          aHealth, endpoint_health_event::PrefillHelpRefused, aNow);
       });
   }
   for (const engine_key endpoint : aNews.mTroubled) {
-    ApplyEndpointNews(endpoint, aHost, NoteTold);
+    ApplyEndpointNews(endpoint, aHost, RecordPeerFailureReport);
   }
   for (const told_limit& limit : aNews.mLimits) {
     if (known_endpoint* const known =
