--- a/Libraries/LibFleet/Endpoints.cpp
+++ b/Libraries/LibFleet/Endpoints.cpp
@@ -7,74 +7,78 @@
 
 namespace {
 
-/// The first pause after a bad sign, and the longest. A killed endpoint is
-/// taken off the list after three missed reports of about a second each, so
-/// there is no use in avoiding one for much longer than that.
-constexpr duration kFirstPause = std::chrono::milliseconds(700);
-constexpr duration kLongestPause = std::chrono::seconds(6);
-constexpr unsigned kMostDoublings = 4;
+/// The first and the longest time for which an endpoint is avoided after a
+/// failure. A killed endpoint is removed from the list after three missed
+/// heartbeats of about a second each, so there is no use in avoiding one for
+/// much longer than that.
+constexpr duration kMinBackoff = std::chrono::milliseconds(700);
+constexpr duration kMaxBackoff = std::chrono::seconds(6);
+constexpr unsigned kMaxDoublings = 4;
 
-/// An engine that refuses to read for others is leaving or gone, and does not
-/// come back: it is avoided as if it had given so many bad signs already.
-constexpr unsigned kUnwillingStrikes = 2;
+/// An engine that refuses to prefill for others is leaving or gone and does not
+/// return, so its back-off starts as if it had this many earlier failures.
+constexpr unsigned kPrefillHelpRefusedFailures = 2;
 
-/// Weight of the newest attempt in the recent share of failures.
+/// Weight of the newest attempt in the moving average of the failure rate.
 constexpr double kFailureWeight = 0.2;
-/// Above this share of failed answers an endpoint is avoided for a while;
-/// well above what a sound service fails by itself.
-constexpr double kFailingShare = 0.5;
+/// An endpoint is avoided while its failure rate is above this, which is well
+/// above that of a healthy service.
+constexpr double kMaxFailureRate = 0.5;
 
-/// Three bad signs within such a span, seen by whichever entry, and the
-/// endpoint is avoided. One that answers at all gives three of these so close
-/// together once in minutes, at 12 streams a second of which 3 in 100 break.
-constexpr duration kTroubleSpan = std::chrono::milliseconds(500);
-/// Signs so close together are one event: a machine whose connections are reset
-/// loses all its streams at once, and the endpoints are sound.
-constexpr duration kOneEvent = std::chrono::milliseconds(20);
+/// An endpoint is avoided after three failures within this window, whichever
+/// gateways observed them. A working endpoint has three failures so close
+/// together only once in minutes, at 12 streams a second of which 3 in 100
+/// break.
+constexpr duration kFailureWindow = std::chrono::milliseconds(500);
+/// Failures within this time count as one: a machine whose connections are
+/// reset loses all its streams at once, although the endpoints are healthy.
+constexpr duration kSameFailureWindow = std::chrono::milliseconds(20);
 
+/// Avoids the endpoint, with exponential back-off.
 void
-Strike(endpoint_health& aHealth, time_point aNow)
+AvoidEndpoint(endpoint_health& aHealth, time_point aNow)
 {
-  const unsigned doublings = std::min(aHealth.mBackoffFailures, kMostDoublings);
-  const duration pause =
-    std::min(kFirstPause * (1U << doublings), kLongestPause);
+  const unsigned doublings = std::min(aHealth.mBackoffFailures, kMaxDoublings);
+  const duration backoff =
+    std::min(kMinBackoff * (1U << doublings), kMaxBackoff);
   ++aHealth.mBackoffFailures;
-  aHealth.mAvoidUntil = aNow + pause;
+  aHealth.mAvoidUntil = aNow + backoff;
 }
 
-/// Keeps the times of the last two bad signs; true if this is the third within
-/// the span.
+/// Records the time of a failure. True if it is the third within
+/// `kFailureWindow`.
 bool
-IsThird(endpoint_health& aHealth, time_point aNow)
+RecordFailureTime(endpoint_health& aHealth, time_point aNow)
 {
-  if (aNow - aHealth.mLastFailureAt < kOneEvent) {
+  if (aNow - aHealth.mLastFailureAt < kSameFailureWindow) {
     return false;
   }
-  const bool third = aNow - aHealth.mPreviousFailureAt < kTroubleSpan;
+  const bool third = aNow - aHealth.mPreviousFailureAt < kFailureWindow;
   aHealth.mPreviousFailureAt = aHealth.mLastFailureAt;
   aHealth.mLastFailureAt = aNow;
   return third;
 }
 
-/// Removals that are remembered; a day replaces a tenth of this.
-constexpr std::size_t kMostGone = 4096;
+/// Number of removals that are kept. About a tenth as many endpoints are
+/// replaced in a day.
+constexpr std::size_t kMaxRemovals = 4096;
 
-/// Forgets the older half of the removals when there are too many: a reading
-/// that is so stale that it still shows one of them is not met any more.
+/// Deletes the older half of the removals when there are too many. No table
+/// read is so stale that it still contains one of those endpoints.
 void
-ForgetOldRemovals(endpoint_registry& aBoard)
+TrimRemovals(endpoint_registry& aRegistry)
 {
-  if (aBoard.mGone.size() <= kMostGone) {
+  if (aRegistry.mGone.size() <= kMaxRemovals) {
     return;
   }
   std::vector<std::uint64_t> revisions;
-  for (const auto& [id, revision] : aBoard.mGone) {
+  for (const auto& [id, revision] : aRegistry.mGone) {
     revisions.push_back(revision);
   }
   const auto middle =
     revisions.begin() + static_cast<std::ptrdiff_t>(revisions.size() / 2);
   std::nth_element(revisions.begin(), middle, revisions.end());
-  std::erase_if(aBoard.mGone, [oldest = *middle](const auto& aEntry) {
+  std::erase_if(aRegistry.mGone, [oldest = *middle](const auto& aEntry) {
     return aEntry.second < oldest;
   });
 }
@@ -82,31 +86,32 @@
 } // namespace
 
 membership_change
-ApplyRow(endpoint_registry& aBoard, const row_change<endpoint>& aChange)
+ApplyRow(endpoint_registry& aRegistry, const row_change<endpoint>& aChange)
 {
-  aBoard.mNewestRevision = std::max(aBoard.mNewestRevision, aChange.mRevision);
-  const auto gone = aBoard.mGone.find(aChange.mKey);
-  if (gone != aBoard.mGone.end() && gone->second >= aChange.mRevision) {
+  aRegistry.mNewestRevision =
+    std::max(aRegistry.mNewestRevision, aChange.mRevision);
+  const auto gone = aRegistry.mGone.find(aChange.mKey);
+  if (gone != aRegistry.mGone.end() && gone->second >= aChange.mRevision) {
     return membership_change::Unchanged;
   }
-  const auto held = aBoard.mEndpoints.find(aChange.mKey);
-  if (held != aBoard.mEndpoints.end() &&
+  const auto held = aRegistry.mEndpoints.find(aChange.mKey);
+  if (held != aRegistry.mEndpoints.end() &&
       held->second.mRevision >= aChange.mRevision) {
     return membership_change::Unchanged;
   }
   if (!aChange.mValue.has_value()) {
-    aBoard.mGone[aChange.mKey] = aChange.mRevision;
-    ForgetOldRemovals(aBoard);
-    return aBoard.mEndpoints.erase(aChange.mKey) != 0
+    aRegistry.mGone[aChange.mKey] = aChange.mRevision;
+    TrimRemovals(aRegistry);
+    return aRegistry.mEndpoints.erase(aChange.mKey) != 0
              ? membership_change::Left
              : membership_change::Unchanged;
   }
-  aBoard.mGone.erase(aChange.mKey);
-  if (held == aBoard.mEndpoints.end()) {
+  aRegistry.mGone.erase(aChange.mKey);
+  if (held == aRegistry.mEndpoints.end()) {
     known_endpoint added;
     added.mListed = *aChange.mValue;
     added.mRevision = aChange.mRevision;
-    aBoard.mEndpoints.emplace(aChange.mKey, std::move(added));
+    aRegistry.mEndpoints.emplace(aChange.mKey, std::move(added));
     return membership_change::Joined;
   }
   const bool wasLeaving = held->second.mListed.mLeaving;
@@ -117,61 +122,62 @@
 }
 
 std::vector<std::string>
-ApplySnapshot(endpoint_registry& aBoard,
+ApplySnapshot(endpoint_registry& aRegistry,
               const std::vector<row_change<endpoint>>& aRows,
               std::uint64_t aRevision)
 {
   std::unordered_map<std::string, bool> listed;
   for (const row_change<endpoint>& row : aRows) {
     listed.emplace(row.mKey, true);
-    (void)ApplyRow(aBoard, row);
+    (void)ApplyRow(aRegistry, row);
   }
   std::vector<std::string> left;
-  for (const auto& [id, known] : aBoard.mEndpoints) {
+  for (const auto& [id, known] : aRegistry.mEndpoints) {
     if (!listed.contains(id) && known.mRevision <= aRevision) {
       left.push_back(id);
     }
   }
   for (const std::string& id : left) {
-    // Gone by the moment that the list shows; which revision removed it is
-    // not known.
-    aBoard.mGone[id] = aRevision;
-    aBoard.mEndpoints.erase(id);
+    // The revision that removed it is not known, but is at most that of the
+    // snapshot.
+    aRegistry.mGone[id] = aRevision;
+    aRegistry.mEndpoints.erase(id);
   }
   return left;
 }
 
 void
 RecordHealthEvent(endpoint_health& aHealth,
-                  endpoint_health_event aSign,
+                  endpoint_health_event aEvent,
                   time_point aNow)
 {
-  const bool bad = aSign != endpoint_health_event::Answered;
-  aHealth.mFailures =
-    aHealth.mFailures * (1 - kFailureWeight) + (bad ? kFailureWeight : 0);
-  switch (aSign) {
+  const bool failed = aEvent != endpoint_health_event::Answered;
+  aHealth.mFailureRate =
+    aHealth.mFailureRate * (1 - kFailureWeight) + (failed ? kFailureWeight : 0);
+  switch (aEvent) {
     case endpoint_health_event::Answered:
       aHealth.mBackoffFailures = 0;
       return;
     case endpoint_health_event::ConnectionBroken:
-      if (IsThird(aHealth, aNow) || aHealth.mFailures > kFailingShare) {
-        Strike(aHealth, aNow);
+      if (RecordFailureTime(aHealth, aNow) ||
+          aHealth.mFailureRate > kMaxFailureRate) {
+        AvoidEndpoint(aHealth, aNow);
       }
       return;
     case endpoint_health_event::Failed:
-      if (aHealth.mFailures > kFailingShare) {
-        Strike(aHealth, aNow);
+      if (aHealth.mFailureRate > kMaxFailureRate) {
+        AvoidEndpoint(aHealth, aNow);
       }
       return;
     case endpoint_health_event::Unreachable:
     case endpoint_health_event::Silent:
     case endpoint_health_event::AddressReassigned:
-      Strike(aHealth, aNow);
+      AvoidEndpoint(aHealth, aNow);
       return;
     case endpoint_health_event::PrefillHelpRefused:
       aHealth.mBackoffFailures =
-        std::max(aHealth.mBackoffFailures, kUnwillingStrikes);
-      Strike(aHealth, aNow);
+        std::max(aHealth.mBackoffFailures, kPrefillHelpRefusedFailures);
+      AvoidEndpoint(aHealth, aNow);
       return;
   }
 }
@@ -179,8 +185,8 @@
 void
 RecordPeerFailureReport(endpoint_health& aHealth, time_point aNow)
 {
-  if (IsThird(aHealth, aNow) && aHealth.mAvoidUntil <= aNow) {
-    Strike(aHealth, aNow);
+  if (RecordFailureTime(aHealth, aNow) && aHealth.mAvoidUntil <= aNow) {
+    AvoidEndpoint(aHealth, aNow);
   }
 }
 
@@ -199,13 +205,13 @@
 }
 
 std::optional<duration>
-TimeUntilAdmissible(const endpoint_registry& aBoard,
+TimeUntilAdmissible(const endpoint_registry& aRegistry,
                     std::string_view aService,
                     const std::vector<std::string>& aTried,
                     time_point aNow)
 {
   std::optional<duration> soonest;
-  for (const auto& [id, known] : aBoard.mEndpoints) {
+  for (const auto& [id, known] : aRegistry.mEndpoints) {
     if (Usable(known, aService) &&
         std::find(aTried.begin(), aTried.end(), id) == aTried.end()) {
       soonest = std::min(soonest.value_or(duration::max()),
@@ -222,28 +228,28 @@
 }
 
 known_endpoint*
-ChoosePlainEndpoint(endpoint_registry& aBoard,
+ChoosePlainEndpoint(endpoint_registry& aRegistry,
                     std::string_view aService,
                     std::string_view aDataCentre,
                     const std::vector<std::string>& aTried,
                     time_point aNow,
-                    double aDraw)
+                    double aRandom)
 {
   struct rank
   {
     bool mAvoided = false;
     unsigned mOutstanding = 0;
     bool mInOtherDataCentre = false;
-    std::uint64_t mDraw = 0;
+    std::uint64_t mRandomHash = 0;
     std::tuple<bool, unsigned, bool, std::uint64_t> Key() const
     {
-      return { mAvoided, mOutstanding, mInOtherDataCentre, mDraw };
+      return { mAvoided, mOutstanding, mInOtherDataCentre, mRandomHash };
     }
   };
-  constexpr double kDrawSteps = 1e6;
+  constexpr double kRandomSteps = 1e6;
   known_endpoint* best = nullptr;
   rank bestRank;
-  for (auto& [id, known] : aBoard.mEndpoints) {
+  for (auto& [id, known] : aRegistry.mEndpoints) {
     if (!Admissible(known, aService, aNow) ||
         std::find(aTried.begin(), aTried.end(), id) != aTried.end()) {
       continue;
@@ -252,7 +258,7 @@
       Avoided(known, aNow),
       known.mOutstanding,
       known.mListed.mDataCentre != aDataCentre,
-      Hash(id, static_cast<std::uint64_t>(aDraw * kDrawSteps))
+      Hash(id, static_cast<std::uint64_t>(aRandom * kRandomSteps))
     };
     if (best == nullptr || candidate.Key() < bestRank.Key()) {
       best = &known;
--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The endpoints that the platform lists, and what this process believes of
-/// each from what it saw itself.
+/// The endpoints that the platform lists, and the health of each as observed by
+/// this gateway and reported by its peers.
 
 #include "LibFleet/EndpointLimits.h"
 
@@ -13,10 +13,10 @@
 
 namespace primrose {
 
-/// One endpoint as the platform's list shows it.
+/// One endpoint as listed by the platform.
 struct endpoint
 {
-  std::string mId; ///< New at each start of the endpoint.
+  std::string mId; ///< Changes at each start of the endpoint.
   ip_address mAddress;
   std::string mService;
   std::string mDataCentre;
@@ -26,36 +26,38 @@
   bool operator==(const endpoint&) const = default;
 };
 
-/// One row of a table of the platform: a value, or that it is gone.
+/// A change of one row in a table of the platform: its new value, or its
+/// removal.
 template<typename T>
 struct row_change
 {
   std::string mKey;
   std::uint64_t mRevision = 0;
-  std::optional<T> mValue; ///< Nothing: the row was removed.
+  std::optional<T> mValue; ///< nullopt if the row was removed.
 
   bool operator==(const row_change&) const = default;
 };
 
-/// How an attempt at an endpoint ended, as far as the endpoint's health goes.
+/// The outcome of an attempt, as far as it concerns the endpoint's health.
 enum class endpoint_health_event : std::uint8_t
 {
-  Answered,           ///< A proper answer, whatever its status.
-  Unreachable,        ///< No connection in time.
-  ConnectionBroken,   ///< The connection broke, or the bytes were no answer.
-  Silent,             ///< Nothing came for far longer than expected.
-  Failed,             ///< An answer that says that the endpoint failed.
-  AddressReassigned,  ///< Another endpoint has the address now.
-  PrefillHelpRefused, ///< It refused to read a part of a prompt for another
-                      ///< engine.
+  Answered,           ///< A valid answer, whatever its status.
+  Unreachable,        ///< No connection before the timeout.
+  ConnectionBroken,   ///< The connection broke, or the answer was malformed.
+  Silent,             ///< No data for much longer than expected.
+  Failed,             ///< An answer that reports a failure of the endpoint.
+  AddressReassigned,  ///< Another endpoint now has the address.
+  PrefillHelpRefused, ///< It refused to prefill a part for another engine.
 };
 
 struct endpoint_health
 {
-  unsigned mBackoffFailures = 0; ///< Bad signs since the last good ones.
-  double mFailures = 0;          ///< Recent share of attempts that failed.
-  time_point mAvoidUntil{};      ///< Not chosen before, if there are others.
-  time_point mLastFailureAt{};   ///< A bad sign, seen here or told by a peer.
+  /// Failures since the last answer that caused the endpoint to be avoided;
+  /// each lengthens the next back-off.
+  unsigned mBackoffFailures = 0;
+  double mFailureRate = 0;     ///< Recent share of attempts that failed.
+  time_point mAvoidUntil{};    ///< Chosen before then only if no others exist.
+  time_point mLastFailureAt{}; ///< Observed here or reported by a peer.
   time_point mPreviousFailureAt{};
 
   bool operator==(const endpoint_health&) const = default;
@@ -67,10 +69,11 @@
   std::uint64_t mRevision = 0;
   endpoint_health mHealth;
   endpoint_limit mLimit;
-  unsigned mOutstanding = 0; ///< This process's own attempts.
-  time_point mHeard{};       ///< When one of them last brought anything.
-  /// Where this is false, other entries place; this one does only while none
-  /// where it is true can be used.
+  unsigned mOutstanding = 0; ///< This gateway's own attempts in flight.
+  time_point mHeard{};       ///< When one of them last received data.
+  /// False if the endpoint is outside this gateway's subset
+  /// (LibFleet/EngineSubset). It is then used only while no preferred endpoint
+  /// can be.
   bool mPreferred = true;
 
   bool operator==(const known_endpoint&) const = default;
@@ -79,13 +82,13 @@
 struct endpoint_registry
 {
   std::map<std::string, known_endpoint> mEndpoints; ///< By id.
-  /// Revisions of removed rows, so that a stale read does not bring back an
-  /// endpoint that this process knows to be gone.
+  /// Revisions of removed rows. They prevent a stale table read from restoring
+  /// an endpoint whose removal was already applied.
   std::unordered_map<std::string, std::uint64_t> mGone;
-  std::uint64_t mNewestRevision = 0; ///< Of all rows taken so far.
+  std::uint64_t mNewestRevision = 0; ///< Of all rows applied so far.
 };
 
-/// What a change of the list did to an endpoint.
+/// The effect of a row change on an endpoint.
 enum class membership_change : std::uint8_t
 {
   Unchanged,
@@ -95,25 +98,28 @@
   Changed,
 };
 
-/// Takes one changed row. An older revision than the one held changes nothing.
+/// Applies one changed row. Ignores a revision that is not newer than the known
+/// one.
 membership_change
-ApplyRow(endpoint_registry& aBoard, const row_change<endpoint>& aChange);
+ApplyRow(endpoint_registry& aRegistry, const row_change<endpoint>& aChange);
 
-/// Takes a whole reading of the list as of `aRevision`: what is not in it and
-/// was not seen later is gone. Gives the ids that left.
+/// Applies a snapshot of the whole table as of `aRevision`. Removes endpoints
+/// that are missing from it, except those with a newer revision. Returns the
+/// ids of the removed endpoints.
 std::vector<std::string>
-ApplySnapshot(endpoint_registry& aBoard,
+ApplySnapshot(endpoint_registry& aRegistry,
               const std::vector<row_change<endpoint>>& aRows,
               std::uint64_t aRevision);
 
-/// Takes note of how an attempt ended.
+/// Updates the health of an endpoint with the outcome of an attempt.
 void
 RecordHealthEvent(endpoint_health& aHealth,
-                  endpoint_health_event aSign,
+                  endpoint_health_event aEvent,
                   time_point aNow);
 
-/// Takes note of a bad sign that another entry saw. One alone may be that
-/// entry's own trouble; several within a moment are the endpoint's.
+/// Updates the health of an endpoint with a failure reported by a peer. A
+/// single report may be caused by the peer itself; several within a short time
+/// indicate that the endpoint is at fault.
 void
 RecordPeerFailureReport(endpoint_health& aHealth, time_point aNow);
 
@@ -121,7 +127,8 @@
 bool
 Usable(const known_endpoint& aEndpoint, std::string_view aService);
 
-/// True if the endpoint is usable and its limit admits a request by this entry.
+/// True if the endpoint is usable and its limit admits a request by this
+/// gateway.
 bool
 Admissible(const known_endpoint& aEndpoint,
            std::string_view aService,
@@ -130,24 +137,26 @@
 /// Time until the limit of a usable endpoint of the service, other than those
 /// in `aTried`, admits a request; nullopt if there is no such endpoint.
 std::optional<duration>
-TimeUntilAdmissible(const endpoint_registry& aBoard,
+TimeUntilAdmissible(const endpoint_registry& aRegistry,
                     std::string_view aService,
                     const std::vector<std::string>& aTried,
                     time_point aNow);
 
-/// True if recent signs say to go elsewhere while there is an elsewhere.
+/// True if the endpoint is to be avoided, because of recent failures, while
+/// there are others.
 bool
 Avoided(const known_endpoint& aEndpoint, time_point aNow);
 
-/// The least busy endpoint of a plain service that is not in `aTried`; of
-/// equals, one of the same data centre, then by `aDraw` in [0, 1). Null if
-/// there is none. Busy is what this process itself has outstanding there.
+/// Chooses the endpoint of a plain service with the fewest outstanding attempts
+/// of this gateway, except those in `aTried`. Ties are broken in favour of the
+/// same data centre, then by `aRandom` in [0, 1). Returns null if there is
+/// none.
 known_endpoint*
-ChoosePlainEndpoint(endpoint_registry& aBoard,
+ChoosePlainEndpoint(endpoint_registry& aRegistry,
                     std::string_view aService,
                     std::string_view aDataCentre,
                     const std::vector<std::string>& aTried,
                     time_point aNow,
-                    double aDraw);
+                    double aRandom);
 
 } // namespace primrose
--- a/Libraries/LibFleet/EngineLedger.cpp
+++ b/Libraries/LibFleet/EngineLedger.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Share of an engine's time that reading gets while requests write there: a
-/// pass reads all that waits and then writes for about 50 ms.
-constexpr double kReadingShareBesideWriters = 0.75;
+/// Share of an engine's time that is spent on prefill while requests decode
+/// there: a pass prefills all queued prompts and then decodes for about 50 ms.
+constexpr double kPrefillShareWhileDecoding = 0.75;
 
 double
 ElapsedMs(time_point aFrom, time_point aTo)
@@ -17,23 +17,24 @@
   return std::max(0.0, Seconds(aTo - aFrom) * kMsInSecond);
 }
 
-/// The writing part of a pass with a usual number of writers; what is read in
-/// one pass comes on top of it.
-constexpr double kUsualPassMs = 50;
-/// What an engine said of itself counts for this long: a fifth of the life of a
-/// short stream, after which its own sums know more.
-constexpr duration kSaidHolds = std::chrono::milliseconds(400);
+/// Decode time of a pass with a typical number of streams. The prefill in a
+/// pass is added to it.
+constexpr double kTypicalDecodePassMs = 50;
+/// The number of requests that an engine reported is used for this long: a
+/// fifth of the duration of a short stream. Later, the ledger's own count is
+/// more accurate.
+constexpr duration kReportedLoadLifetime = std::chrono::milliseconds(400);
 constexpr double kMsPerSecond = 1e3;
 
-/// Marks the streams that a backlog makes pause for longer than they may.
+/// Marks the streams whose pauses exceed their limits due to the backlog.
 void
-MarkStretched(engine_ledger& aLedger, const engine_load& aLoad)
+MarkExceededPauses(engine_ledger& aLedger, const engine_load& aLoad)
 {
   for (const placement_key key : aLoad.mDecoding) {
     const auto found = aLedger.mPlacements.find(key);
     if (found != aLedger.mPlacements.end() &&
         Seconds(found->second.mLongestPause) * kMsPerSecond <
-          aLoad.mBacklogMs + kUsualPassMs) {
+          aLoad.mBacklogMs + kTypicalDecodePassMs) {
       found->second.mPauseExceeded = true;
     }
   }
@@ -46,13 +47,15 @@
   aLoad.mBacklogAt = aNow;
 }
 
-/// An engine reads for others what came last first, and all that waits in one
-/// pass where it writes: whatever it still reads ends after the new part.
+/// Adds a placement to those that the engine prefills, and delays the end of
+/// all of them to the end of its backlog: an engine prefills parts for other
+/// engines in last-in-first-out order, and all queued parts in one pass while
+/// it decodes streams, so earlier prefills end after the new part.
 void
-DelayReadings(engine_ledger& aLedger,
-              engine_load& aLoad,
-              placement_key aNew,
-              time_point aNow)
+AddPrefill(engine_ledger& aLedger,
+           engine_load& aLoad,
+           placement_key aNew,
+           time_point aNow)
 {
   std::erase_if(aLoad.mPrefilling, [&aLedger, aNow](placement_key aKey) {
     const auto found = aLedger.mPlacements.find(aKey);
@@ -62,22 +65,24 @@
   aLoad.mPrefilling.push_back(aNew);
   const time_point end = aNow + FromSeconds(aLoad.mBacklogMs / kMsPerSecond);
   for (const placement_key key : aLoad.mPrefilling) {
-    placement& reading = aLedger.mPlacements.at(key);
-    reading.mPrefillEndsAt = std::max(reading.mPrefillEndsAt, end);
+    placement& prefill = aLedger.mPlacements.at(key);
+    prefill.mPrefillEndsAt = std::max(prefill.mPrefillEndsAt, end);
   }
 }
 
 template<typename Condition>
 void
-ForgetWhere(engine_ledger& aLedger, time_point aNow, Condition&& aCondition)
+RemovePlacementsIf(engine_ledger& aLedger,
+                   time_point aNow,
+                   Condition&& aCondition)
 {
-  std::vector<placement_key> forgotten;
+  std::vector<placement_key> removed;
   for (const auto& [key, placed] : aLedger.mPlacements) {
     if (aCondition(placed)) {
-      forgotten.push_back(key);
+      removed.push_back(key);
     }
   }
-  for (const placement_key key : forgotten) {
+  for (const placement_key key : removed) {
     RemovePlacement(aLedger, key, placement_end::Read, aNow);
   }
 }
@@ -106,7 +111,7 @@
 double
 BacklogMs(const engine_load& aLoad, time_point aNow)
 {
-  const double rate = aLoad.mDecoding.empty() ? 1 : kReadingShareBesideWriters;
+  const double rate = aLoad.mDecoding.empty() ? 1 : kPrefillShareWhileDecoding;
   return std::max(0.0,
                   aLoad.mBacklogMs - rate * ElapsedMs(aLoad.mBacklogAt, aNow));
 }
@@ -125,7 +130,7 @@
 std::size_t
 RequestsOn(const engine_load& aLoad, time_point aNow)
 {
-  const bool fresh = aNow - aLoad.mReportedAt < kSaidHolds;
+  const bool fresh = aNow - aLoad.mReportedAt < kReportedLoadLifetime;
   return std::max(aLoad.mDecoding.size(),
                   fresh ? aLoad.mReportedRequestCount : 0);
 }
@@ -140,12 +145,12 @@
   for (const engine_key engine : aPlaced.mEngines) {
     engine_load& load = aLedger.mEngines[engine];
     AddBacklog(load, aPlaced.mPartPrefillMs, aNow);
-    MarkStretched(aLedger, load);
-    DelayReadings(aLedger, load, aPlaced.mKey, aNow);
+    MarkExceededPauses(aLedger, load);
+    AddPrefill(aLedger, load, aPlaced.mKey, aNow);
   }
-  engine_load& writing = aLedger.mEngines[aPlaced.mEngines.front()];
-  writing.mDecoding.push_back(aPlaced.mKey);
-  writing.mTokens += aPlaced.mTokens;
+  engine_load& decodeLoad = aLedger.mEngines[aPlaced.mEngines.front()];
+  decodeLoad.mDecoding.push_back(aPlaced.mKey);
+  decodeLoad.mTokens += aPlaced.mTokens;
   for (const engine_key holder : aPlaced.mHolders) {
     aLedger.mEngines[holder].mTokens += aPlaced.mHolderTokens;
   }
@@ -183,7 +188,7 @@
 void
 RemoveExpiredPlacements(engine_ledger& aLedger, time_point aNow)
 {
-  ForgetWhere(aLedger, aNow, [aNow](const placement& aPlaced) {
+  RemovePlacementsIf(aLedger, aNow, [aNow](const placement& aPlaced) {
     return aPlaced.mExpires <= aNow;
   });
 }
@@ -193,7 +198,7 @@
                         std::uint64_t aOwner,
                         time_point aNow)
 {
-  ForgetWhere(aLedger, aNow, [aOwner](const placement& aPlaced) {
+  RemovePlacementsIf(aLedger, aNow, [aOwner](const placement& aPlaced) {
     return aPlaced.mOwner == aOwner;
   });
 }
--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -10,35 +10,37 @@
 
 namespace {
 
-/// A prompt that one engine reads within this is not divided: each part waits
-/// for its engine's pass in progress, so dividing it would not end sooner.
-constexpr double kWholeMs = 100;
-/// For a place in another data centre: only decides between equals.
-constexpr double kAwayPenalty = 0.002;
+/// A prompt that one engine prefills within this time is not divided. Each part
+/// would wait for the pass in progress on its engine, so that the prefill would
+/// not end sooner.
+constexpr double kMaxUndividedMs = 100;
+/// Cost of an engine in another data centre. It is so small that it only
+/// decides between engines of equal cost.
+constexpr double kOtherDataCentrePenalty = 0.002;
 /// Worth of any request, and of each thousand tokens of its prompt.
 constexpr double kBaseWorth = 0.6;
 constexpr double kWorthPerThousand = 0.13;
 constexpr double kThousand = 1e3;
 
 engine_choice
-PlaceWhole(const std::vector<engine_candidate>& aCandidates,
-           const engine_timing& aTiming,
-           const placement_request& aWork,
-           double aReadingMs)
+PlaceUndivided(const std::vector<engine_candidate>& aCandidates,
+               const engine_timing& aTiming,
+               const placement_request& aRequest,
+               double aPrefillMs)
 {
   const engine_candidate* best = nullptr;
   std::pair<double, std::uint64_t> bestCost;
   double bestFirst = 0;
   for (const engine_candidate& one : aCandidates) {
     const double first =
-      one.mBacklogMs + aReadingMs + kPassesToFirstEvent * one.mDecodePassMs;
-    const double cost = LatenessCost(first, aWork) +
-                        PauseHarm(one, aReadingMs) +
-                        PackingCost(one, aTiming, aWork) +
-                        (HasRoom(one, aTiming, aWork) ? 0 : aWork.mWorth) +
-                        (one.mInOtherDataCentre ? kAwayPenalty : 0);
+      one.mBacklogMs + aPrefillMs + kPassesToFirstEvent * one.mDecodePassMs;
+    const double cost =
+      LatenessCost(first, aRequest) + PauseHarm(one, aPrefillMs) +
+      PackingCost(one, aTiming, aRequest) +
+      (HasRoom(one, aTiming, aRequest) ? 0 : aRequest.mWorth) +
+      (one.mInOtherDataCentre ? kOtherDataCentrePenalty : 0);
     const std::pair<double, std::uint64_t> ranked(
-      cost, Hash(one.mEndpoint->mListed.mId, aWork.mTieBreakSeed));
+      cost, Hash(one.mEndpoint->mListed.mId, aRequest.mTieBreakSeed));
     if (best == nullptr || ranked < bestCost) {
       best = &one;
       bestCost = ranked;
@@ -47,16 +49,16 @@
   }
   engine_choice choice;
   choice.mDecodeEngine = best->mEndpoint;
-  choice.mPartPrefillMs = aReadingMs;
+  choice.mPartPrefillMs = aPrefillMs;
   choice.mFirstEventMs = bestFirst;
-  choice.mHarm.mStreams = PauseHarm(*best, aReadingMs);
+  choice.mHarm.mStreams = PauseHarm(*best, aPrefillMs);
   return choice;
 }
 
 engine_choice
-PlaceDivided(const placing& aPlacing, const engine_ledger& aLedger)
+PlaceDivided(const division_inputs& aInputs, const engine_ledger& aLedger)
 {
-  const division chosen = CheapestDivision(aPlacing);
+  const prompt_division chosen = CheapestDivision(aInputs);
   engine_choice choice;
   choice.mVerdict =
     chosen.mFitsMemory ? placement_verdict::Send : placement_verdict::NoMemory;
@@ -71,8 +73,8 @@
     chosen.mPrefillEndsMs +
     kPassesToFirstEvent * chosen.mDecodeEngine->mDecodePassMs;
   choice.mHarm = chosen.mHarm;
-  choice.mPrefillSecondPrice = PrefillSecondPrice(aPlacing.mCandidates);
-  Judge(choice, aLedger, aPlacing.mWork, aPlacing.mPrefillMs);
+  choice.mPrefillSecondPrice = PrefillSecondPrice(aInputs.mCandidates);
+  DecideAdmission(choice, aLedger, aInputs.mRequest, aInputs.mPrefillMs);
   return choice;
 }
 
@@ -91,28 +93,30 @@
 }
 
 std::optional<engine_choice>
-PlaceOnEngines(endpoint_registry& aBoard,
+PlaceOnEngines(endpoint_registry& aRegistry,
                const engine_ledger& aLedger,
                const engine_timing& aTiming,
-               const placement_request& aWork,
+               const placement_request& aRequest,
                const std::vector<std::string>& aTried,
                std::string_view aDataCentre,
                time_point aNow)
 {
   std::vector<engine_candidate> candidates = EngineCandidates(
-    aBoard, aLedger, aTiming, aWork, aTried, aDataCentre, aNow);
+    aRegistry, aLedger, aTiming, aRequest, aTried, aDataCentre, aNow);
   if (candidates.empty()) {
     return std::nullopt;
   }
-  const double reading = PrefillMs(aTiming, aWork.mPromptTokens);
-  if (reading <= kWholeMs) {
-    return PlaceWhole(candidates, aTiming, aWork, reading);
+  const double prefillMs = PrefillMs(aTiming, aRequest.mPromptTokens);
+  if (prefillMs <= kMaxUndividedMs) {
+    return PlaceUndivided(candidates, aTiming, aRequest, prefillMs);
   }
-  if (aWork.mTieBreakSeed != 0) {
-    // Engines that seem equal are not equal to others; in one order for all
-    // every entry would read its long prompts on the same ones.
+  if (aRequest.mTieBreakSeed != 0) {
+    // Engines of equal cost are chosen in the order of the candidates. They may
+    // be in use by other gateways, and in one order for all, every gateway
+    // would prefill its long prompts on the same engines.
     const std::uint64_t seed =
-      aWork.mTieBreakSeed + static_cast<std::uint64_t>(aWork.mPromptTokens);
+      aRequest.mTieBreakSeed +
+      static_cast<std::uint64_t>(aRequest.mPromptTokens);
     std::sort(
       candidates.begin(),
       candidates.end(),
@@ -123,51 +127,51 @@
   }
   return PlaceDivided({ candidates,
                         aTiming,
-                        aWork,
-                        reading,
+                        aRequest,
+                        prefillMs,
                         SlotUtilisation(candidates, aTiming) },
                       aLedger);
 }
 
 placement
 PlacementOf(const engine_choice& aChoice,
-            const placement_request& aWork,
+            const placement_request& aRequest,
             placement_key aKey)
 {
   placement placed;
   placed.mKey = aKey;
   placed.mEngines.push_back(EngineKey(aChoice.mDecodeEngine->mListed.mId));
-  for (const known_endpoint* const reader : aChoice.mPrefillHelpers) {
-    placed.mEngines.push_back(EngineKey(reader->mListed.mId));
+  for (const known_endpoint* const helper : aChoice.mPrefillHelpers) {
+    placed.mEngines.push_back(EngineKey(helper->mListed.mId));
   }
   placed.mPartPrefillMs = aChoice.mPartPrefillMs;
-  placed.mLongestPause = aWork.mLongestPause;
-  placed.mWorth = aWork.mWorth;
-  placed.mObjective = aWork.mObjective;
+  placed.mLongestPause = aRequest.mLongestPause;
+  placed.mWorth = aRequest.mWorth;
+  placed.mObjective = aRequest.mObjective;
   placed.mHolderTokens = aChoice.mHolderTokens;
   for (std::size_t i = 0; i < aChoice.mHolders; ++i) {
     placed.mHolders.push_back(placed.mEngines[i + 1]);
   }
   placed.mTokens =
-    aWork.mPromptTokens + aWork.mAnswerTokens -
+    aRequest.mPromptTokens + aRequest.mAnswerTokens -
     static_cast<double>(aChoice.mHolders) * aChoice.mHolderTokens;
   return placed;
 }
 
 duration
-TimeUntilAccepted(endpoint_registry& aBoard,
+TimeUntilAccepted(endpoint_registry& aRegistry,
                   const engine_ledger& aLedger,
                   const engine_timing& aTiming,
-                  const placement_request& aWork,
+                  const placement_request& aRequest,
                   std::string_view aDataCentre,
                   time_point aNow,
                   duration aLongest)
 {
-  // Each step costs as much as a placement. A finer one would tell little,
-  // since others come meanwhile.
+  // Each step takes as much CPU time as a placement. Finer steps would add
+  // little accuracy, since other requests arrive meanwhile.
   for (duration after = kMinRetryAfter; after < aLongest; after *= 2) {
     const std::optional<engine_choice> choice = PlaceOnEngines(
-      aBoard, aLedger, aTiming, aWork, {}, aDataCentre, aNow + after);
+      aRegistry, aLedger, aTiming, aRequest, {}, aDataCentre, aNow + after);
     if (choice.has_value() && (choice->mVerdict == placement_verdict::Send ||
                                choice->mVerdict == placement_verdict::Wait)) {
       return after;
--- a/Libraries/LibFleet/EnginePlacement.h
+++ b/Libraries/LibFleet/EnginePlacement.h
@@ -1,15 +1,16 @@
 #pragma once
 
-/// Where a prompt is read and its answer written.
+/// Chooses the engines that prefill a prompt and decode its answer.
 ///
-/// An engine works in passes: a pass writes one event for each writer and reads
-/// everything that waits, so what is read in one pass is a pause in all streams
-/// of that engine. A place is therefore priced by what it costs callers: the
-/// worth of this request if its first event would be late, and the worth of
-/// the streams whose pauses its reading would stretch over their limits. From
-/// that follow the two habits of the fleet: streams with tight limits gather on
-/// few engines, and long prompts, cut into equal parts, are read on the others;
-/// where they must meet, few streams are harmed much rather than many a little.
+/// An engine works in passes. A pass prefills everything that is queued and
+/// decodes one event for each stream, so the prefill in a pass is a pause in
+/// all streams of that engine. The cost of a placement is the worth that
+/// callers are expected to lose by it: that of this request if its first event
+/// would be late, and that of the streams whose pauses the prefill would make
+/// too long. As a result, streams with short allowed pauses are packed on few
+/// engines, and long prompts, divided into equal parts, are prefilled on the
+/// others. Where both have to share engines, few streams are delayed by much
+/// rather than many by a little.
 
 #include "LibFleet/Endpoints.h"
 #include "LibFleet/EngineLedger.h"
@@ -17,44 +18,44 @@
 
 namespace primrose {
 
-/// What a request asks of an engine.
+/// The requirements of a request that is to be placed.
 struct placement_request
 {
   std::string mService;
   double mPromptTokens = 0;
   double mAnswerTokens = 0;
-  duration mLongestPause{};
-  duration mObjective{};
-  double mWorth = 0; ///< Against other requests; see `WorthOfPrompt`.
-  /// Order in which equal engines are taken, of each entry's own: where news of
-  /// the others are late or lost, entries must not all take the same one.
+  duration mLongestPause{}; ///< Allowed between two events.
+  duration mObjective{};    ///< Latency target of the first event.
+  double mWorth = 0;        ///< See `WorthOfPrompt`.
+  /// Breaks ties between engines of equal cost. It differs between gateways,
+  /// so that they choose different engines while gossip about placements is
+  /// late or lost.
   std::uint64_t mTieBreakSeed = 0;
-  duration mElapsed{}; ///< Since its caller asked.
+  duration mElapsed{}; ///< Since the gateway received the request.
 
   bool operator==(const placement_request&) const = default;
 };
 
-/// What is to be done with a request.
+/// The admission decision for a request.
 enum class placement_verdict : std::uint8_t
 {
   Send,
-  /// It takes much from the callers of others, though not so much that it is
-  /// turned away. To be weighed again after `kReevaluationInterval`: the
+  /// Serving it now would cost other callers much, though not so much that it
+  /// is refused. It is re-evaluated after `kReevaluationInterval`, because the
   /// streams that it would interrupt end within a second or two.
   Wait,
-  /// It takes more from the callers of others than it gains its own.
+  /// Serving it would cost other callers more than its own caller gains.
   TurnAway,
-  /// The fleet has no memory for it.
+  /// The fleet does not have the memory for it.
   NoMemory,
 };
 
 /// Worth that other requests are expected to lose by a placement, by cause.
 struct placement_harm
 {
-  double mStreams = 0;  ///< Streams whose pauses become too long.
-  double mPrefills = 0; ///< Prompts being read whose first event is delayed.
-  double mFutureRequests =
-    0; ///< Requests that arrive while its parts are read.
+  double mStreams = 0;        ///< Streams whose pauses become too long.
+  double mPrefills = 0;       ///< Prefills whose first event is delayed.
+  double mFutureRequests = 0; ///< Requests that arrive during its prefill.
 
   bool operator==(const placement_harm&) const = default;
 };
@@ -63,15 +64,16 @@
 {
   placement_verdict mVerdict = placement_verdict::Send;
   known_endpoint* mDecodeEngine = nullptr;
-  std::vector<known_endpoint*> mPrefillHelpers; ///< Besides the writer.
-  /// Of the readers, the first so many are to hold memory for the prompt.
+  /// Engines that prefill parts, in addition to the decode engine.
+  std::vector<known_endpoint*> mPrefillHelpers;
+  /// The first so many helpers also hold memory for the prompt.
   std::size_t mHolders = 0;
   double mHolderTokens = 0;  ///< Memory of each holder, in tokens.
-  double mPartPrefillMs = 0; ///< Reading time of each part.
+  double mPartPrefillMs = 0; ///< Prefill time of each part.
   double mFirstEventMs = 0;  ///< Expected time to the first event.
   placement_harm mHarm;
-  double mPrefillSecondPrice = 0; ///< What a second of one engine counted for.
-  double mPrice = 0;              ///< Price of reading, compared with `mGain`.
+  double mPrefillSecondPrice = 0; ///< Price of a second of one engine.
+  double mPrice = 0;              ///< Price of the prefill; see `mGain`.
   double mGain = 0; ///< Worth to the caller of serving the prompt.
 
   bool operator==(const engine_choice&) const = default;
@@ -80,43 +82,44 @@
 double
 TotalHarm(const placement_harm& aHarm);
 
-/// Lower bound of the delay after which a rejected caller is asked to return.
+/// Lower bound of the delay after which a refused caller is asked to return.
 inline constexpr duration kMinRetryAfter = std::chrono::milliseconds(250);
 
-/// Between two decisions on a prompt that waits: two passes of an engine.
+/// Time between two evaluations of a waiting prompt: two passes of an engine.
 inline constexpr duration kReevaluationInterval =
   std::chrono::milliseconds(100);
 
-/// What a prompt of this size is worth against others: operators of both
-/// deployments value their long documents about in proportion to their size.
+/// The worth of serving a prompt of this size, in units that are comparable
+/// between requests. Operators of both deployments value their long documents
+/// about in proportion to their size.
 double
 WorthOfPrompt(double aPromptTokens);
 
-/// Chooses engines for a request; nothing if no engine is listed or all were
-/// tried. `aTried` are endpoints that this request was sent to already.
+/// Chooses engines for a request. `aTried` are the endpoints that it was
+/// already sent to. Returns nullopt if no engine is listed or all were tried.
 std::optional<engine_choice>
-PlaceOnEngines(endpoint_registry& aBoard,
+PlaceOnEngines(endpoint_registry& aRegistry,
                const engine_ledger& aLedger,
                const engine_timing& aTiming,
-               const placement_request& aWork,
+               const placement_request& aRequest,
                const std::vector<std::string>& aTried,
                std::string_view aDataCentre,
                time_point aNow);
 
-/// What the ledger is to know of a choice that is carried out. Whose it is,
-/// when its caller asked and when it expires is left to who carries it out.
+/// The ledger entry for a choice that is carried out. The caller has to set
+/// `mOwner`, `mBegan` and `mExpires`.
 placement
 PlacementOf(const engine_choice& aChoice,
-            const placement_request& aWork,
+            const placement_request& aRequest,
             placement_key aKey);
 
-/// After which time a prompt that is turned away now would be taken, if nothing
-/// else came; `aLongest` if not before.
+/// Estimates the time after which a prompt that is refused now would be
+/// accepted if no other requests arrived; `aLongest` if that is later.
 duration
-TimeUntilAccepted(endpoint_registry& aBoard,
+TimeUntilAccepted(endpoint_registry& aRegistry,
                   const engine_ledger& aLedger,
                   const engine_timing& aTiming,
-                  const placement_request& aWork,
+                  const placement_request& aRequest,
                   std::string_view aDataCentre,
                   time_point aNow,
                   duration aLongest);
--- a/Libraries/LibFleet/EngineSubset.cpp
+++ b/Libraries/LibFleet/EngineSubset.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Evenly spaced positions in the order of a hash.
+/// Assigns evenly spaced positions in the order of the hashes.
 template<typename Key>
 std::vector<std::pair<Key, double>>
-Spaced(std::vector<std::pair<std::uint64_t, Key>> aHashed)
+EvenlySpaced(std::vector<std::pair<std::uint64_t, Key>> aHashed)
 {
   std::sort(aHashed.begin(), aHashed.end());
   std::vector<std::pair<Key, double>> spaced;
@@ -22,31 +22,31 @@
   return spaced;
 }
 
-/// True if the arc that begins at `aFrom`, of one of so many entries, holds the
-/// engine.
+/// True if the engine is on the arc that begins at `aFrom`, if there are
+/// `aGateways` gateways.
 bool
-ArcHolds(double aFrom,
-         std::size_t aEntries,
-         const engine_ring_position& aEngine)
+ArcContains(double aFrom,
+            std::size_t aGateways,
+            const engine_ring_position& aEngine)
 {
   const double ahead = aEngine.mPosition - aFrom;
   return (ahead < 0 ? ahead + 1 : ahead) <
-         PreferredShare(aEntries, aEngine.mEngines);
+         PreferredShare(aGateways, aEngine.mEngines);
 }
 
 } // namespace
 
 void
-AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aBoard)
+AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aRegistry)
 {
   std::map<std::string, std::vector<std::pair<std::uint64_t, engine_key>>>
     services;
-  for (const auto& [id, known] : aBoard.mEndpoints) {
+  for (const auto& [id, known] : aRegistry.mEndpoints) {
     services[known.mListed.mService].emplace_back(Hash(id), EngineKey(id));
   }
   aRing.mEngines.clear();
   for (const auto& [service, hashed] : services) {
-    for (const auto& [key, position] : Spaced(hashed)) {
+    for (const auto& [key, position] : EvenlySpaced(hashed)) {
       aRing.mEngines[key] = { position, hashed.size() };
     }
   }
@@ -61,32 +61,32 @@
   for (const std::string& host : aHosts) {
     hashed.emplace_back(Hash(host), host);
   }
-  aRing.mEntries.clear();
-  for (const auto& [host, position] : Spaced(hashed)) {
-    aRing.mEntries[host] = position;
+  aRing.mGateways.clear();
+  for (const auto& [host, position] : EvenlySpaced(hashed)) {
+    aRing.mGateways[host] = position;
   }
 }
 
 double
-PreferredShare(std::size_t aEntries, std::size_t aEngines)
+PreferredShare(std::size_t aGateways, std::size_t aEngines)
 {
-  const double entries =
-    static_cast<double>(std::max<std::size_t>(aEntries, 1));
+  const double gateways =
+    static_cast<double>(std::max<std::size_t>(aGateways, 1));
   const double engines =
     static_cast<double>(std::max<std::size_t>(aEngines, 1));
   return std::min(
-    1.0, std::max(kGatewaysPerEngine / entries, kEnginesPerGateway / engines));
+    1.0, std::max(kGatewaysPerEngine / gateways, kEnginesPerGateway / engines));
 }
 
 bool
 Prefers(const subset_ring& aRing, const std::string& aHost, engine_key aEngine)
 {
-  const auto entry = aRing.mEntries.find(aHost);
+  const auto gateway = aRing.mGateways.find(aHost);
   const auto engine = aRing.mEngines.find(aEngine);
-  if (entry == aRing.mEntries.end() || engine == aRing.mEngines.end()) {
+  if (gateway == aRing.mGateways.end() || engine == aRing.mEngines.end()) {
     return true;
   }
-  return ArcHolds(entry->second, aRing.mEntries.size(), engine->second);
+  return ArcContains(gateway->second, aRing.mGateways.size(), engine->second);
 }
 
 std::vector<std::string>
@@ -94,24 +94,24 @@
                 const std::vector<std::string>& aHosts,
                 const std::vector<engine_key>& aEngines)
 {
-  std::vector<engine_ring_position> places;
-  places.reserve(aEngines.size());
+  std::vector<engine_ring_position> positions;
+  positions.reserve(aEngines.size());
   for (const engine_key engine : aEngines) {
     const auto found = aRing.mEngines.find(engine);
     if (found == aRing.mEngines.end()) {
       return aHosts;
     }
-    places.push_back(found->second);
+    positions.push_back(found->second);
   }
   std::vector<std::string> hosts;
   for (const std::string& host : aHosts) {
-    const auto entry = aRing.mEntries.find(host);
-    if (entry == aRing.mEntries.end() ||
-        std::any_of(places.begin(),
-                    places.end(),
-                    [&](const engine_ring_position& aPlace) {
-                      return ArcHolds(
-                        entry->second, aRing.mEntries.size(), aPlace);
+    const auto gateway = aRing.mGateways.find(host);
+    if (gateway == aRing.mGateways.end() ||
+        std::any_of(positions.begin(),
+                    positions.end(),
+                    [&](const engine_ring_position& aPosition) {
+                      return ArcContains(
+                        gateway->second, aRing.mGateways.size(), aPosition);
                     })) {
       hosts.push_back(host);
     }
@@ -120,11 +120,11 @@
 }
 
 void
-MarkPreferred(endpoint_registry& aBoard,
+MarkPreferred(endpoint_registry& aRegistry,
               const subset_ring& aRing,
               const std::string& aHost)
 {
-  for (auto& [id, known] : aBoard.mEndpoints) {
+  for (auto& [id, known] : aRegistry.mEndpoints) {
     known.mPreferred = Prefers(aRing, aHost, EngineKey(id));
   }
 }
--- a/Libraries/LibFleet/EngineSubset.h
+++ b/Libraries/LibFleet/EngineSubset.h
@@ -1,24 +1,29 @@
 #pragma once
 
-/// Which engines an entry places on where there are many, and which entries
-/// hear of a placement.
+/// Deterministic subsetting of the engines in large fleets: which engines a
+/// gateway prefers for its placements, and which gateways are notified of a
+/// placement.
 ///
-/// Load that this answers: hundreds of entries before hundreds of engines. What
-/// an entry has to hear of grows with the requests of the whole fleet if each
-/// may place anywhere, and in the milliseconds that news take, many entries
-/// give the same engine its last slot. So each entry prefers a part of the
-/// engines and hears of the placements there. Entries and engines stand on a
-/// ring, each kind in the order of a hash and evenly spaced; an entry prefers
-/// the engines of the arc that begins where it stands. Arcs of neighbours
-/// overlap, so that load which one part has too much of spreads to the next,
-/// and when one entry or engine comes or goes the arcs move by one place only.
-/// Everything follows from the two lists; nothing is agreed. Entries whose
-/// lists differ for a moment hear of a few placements less or more.
+/// It is designed for hundreds of gateways in front of hundreds of engines. If
+/// each gateway may place on any engine, the placements that it has to receive
+/// grow with the requests of the whole fleet, and during the milliseconds that
+/// a gossip message takes, many gateways assign the same engine's last slot.
+/// Therefore each gateway prefers a subset of the engines and receives the
+/// placements on these.
 ///
-/// Of 1,290 short prompts that 103 entries place in two seconds before 172
-/// engines, 27 go to an engine without a free slot; 137 where all may place
-/// anywhere and hear of everything, 1,137 where each placement is told to 12
-/// others (the test of the burst before hundreds of engines, news 6 ms old).
+/// Gateways and engines have positions on a ring, each kind in the order of a
+/// hash and evenly spaced. A gateway prefers the engines on the arc that begins
+/// at its own position. The arcs of neighbours overlap, so that excess load on
+/// one subset spreads to the next. When one gateway or engine joins or leaves,
+/// the arcs move by one position only. Everything is computed from the two
+/// membership lists without coordination; gateways whose lists differ for a
+/// moment receive slightly fewer or more placements.
+///
+/// Of 1,290 short prompts that 103 gateways place in two seconds on 172
+/// engines, 27 go to an engine without a free slot. It is 137 if all gateways
+/// may place on any engine and receive every placement, and 1,137 if each
+/// placement is sent to 12 others. (From
+/// `BurstOnHundredsOfEnginesFindsFreeSlots`, with gossip delayed by 6 ms.)
 
 #include "LibFleet/Endpoints.h"
 #include "LibFleet/EngineLedger.h"
@@ -31,20 +36,21 @@
 
 namespace primrose {
 
-/// Entries that prefer each engine: enough that no engine is left to nobody
-/// when half of them die, and that the requests which one entry gets more of
-/// than another are spread; few enough that each of them is always told of a
-/// placement there within the bytes that operators allow.
+/// Minimum number of gateways that prefer each engine. It is large enough that
+/// every engine is still preferred by a gateway after half of them have failed,
+/// and that differences in load between gateways even out. It is small enough
+/// that a placement is always sent to all of them within the bandwidth that
+/// operators allow.
 inline constexpr double kGatewaysPerEngine = kAlwaysTold;
-/// Engines that each entry prefers at least: over twice the 17 that the longest
-/// prompts are divided over, so that they have a choice.
+/// Minimum number of engines that each gateway prefers: over twice the 17 that
+/// the longest prompts are divided over, so that there is a choice of engines.
 inline constexpr double kEnginesPerGateway = 40;
 
-/// Where an engine stands among those of its service.
+/// The position of an engine among those of its service.
 struct engine_ring_position
 {
-  double mPosition = 0;     ///< On the ring, 0 to 1.
-  std::size_t mEngines = 1; ///< Of its service.
+  double mPosition = 0;     ///< On the ring, in [0, 1).
+  std::size_t mEngines = 1; ///< Number of engines of its service.
 
   bool operator==(const engine_ring_position&) const = default;
 };
@@ -52,38 +58,41 @@
 struct subset_ring
 {
   std::unordered_map<engine_key, engine_ring_position> mEngines;
-  std::map<std::string, double> mEntries; ///< Positions by host.
+  std::map<std::string, double> mGateways; ///< Positions of gateways by host.
 
   bool operator==(const subset_ring&) const = default;
 };
 
-/// Ranks the listed endpoints, those of each service by themselves.
+/// Sets the positions of the listed endpoints, separately for each service.
 void
-AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aBoard);
+AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aRegistry);
 
+/// Sets the positions of the gateways at these hosts.
 void
 AssignGatewayPositions(subset_ring& aRing,
                        const std::vector<std::string>& aHosts);
 
-/// The part of a service's engines that each entry prefers, 0 to 1.
+/// The share of a service's engines that each gateway prefers, 0 to 1.
 double
-PreferredShare(std::size_t aEntries, std::size_t aEngines);
+PreferredShare(std::size_t aGateways, std::size_t aEngines);
 
-/// True if the entry at this host places on the engine as long as it can. An
-/// entry or engine that is not on the ring counts as preferred.
+/// True if the gateway at this host prefers the engine, that is, uses others
+/// only while it can use no preferred one. Always true for a gateway or engine
+/// that is not on the ring.
 bool
 Prefers(const subset_ring& aRing, const std::string& aHost, engine_key aEngine);
 
-/// Those of the hosts whose entries prefer any of the engines, which are one at
-/// least. Each engine is looked up once, however many the hosts are.
+/// Those of `aHosts` whose gateways prefer any of the engines. Requires at
+/// least one engine. Each engine is looked up only once, whatever the number of
+/// hosts.
 std::vector<std::string>
 HostsThatPrefer(const subset_ring& aRing,
                 const std::vector<std::string>& aHosts,
                 const std::vector<engine_key>& aEngines);
 
-/// Marks the endpoints that the entry at this host prefers.
+/// Sets `mPreferred` of each endpoint for the gateway at this host.
 void
-MarkPreferred(endpoint_registry& aBoard,
+MarkPreferred(endpoint_registry& aRegistry,
               const subset_ring& aRing,
               const std::string& aHost);
 
--- a/Libraries/LibFleet/EngineTiming.cpp
+++ b/Libraries/LibFleet/EngineTiming.cpp
@@ -13,12 +13,12 @@
 
 double
 DecodePassMs(const engine_timing& aEngine,
-             double aWriters,
+             double aRequests,
              double aContextTokens)
 {
   constexpr double kThousand = 1e3;
   const double step =
-    aEngine.mStepMs + aEngine.mStepMsPerRequest * aWriters +
+    aEngine.mStepMs + aEngine.mStepMsPerRequest * aRequests +
     aEngine.mStepMsPerThousandTokens * aContextTokens / kThousand;
   return step * aEngine.mStepsPerPass;
 }
--- a/Libraries/LibFleet/EngineTiming.h
+++ b/Libraries/LibFleet/EngineTiming.h
@@ -1,36 +1,40 @@
 #pragma once
 
-/// What an engine takes to read a prompt and to write an answer.
+/// Estimates of the time that an engine takes to prefill a prompt and to decode
+/// an answer.
 
 #include "LibCore/LibCore.h"
 
 namespace primrose {
 
-/// The engine's arithmetic, as its operator declares it.
+/// Performance parameters of an engine, as declared by its operator.
 struct engine_timing
 {
-  unsigned mSlots = 1;      ///< Requests that it works on at once.
-  double mMemoryTokens = 0; ///< Prompt and answer tokens that fit; 0: not told.
-  double mPrefillTokensPerMs = 1; ///< Reading without the cost of pairs.
-  double mPrefillMsPerMillionPairs =
-    0;                          ///< For each token and any earlier token.
-  double mStepMs = 0;           ///< One token step.
-  double mStepMsPerRequest = 0; ///< Added for each request that writes.
+  unsigned mSlots = 1; ///< Requests that it serves concurrently.
+  /// Prompt and answer tokens that fit into its memory; 0 if not declared.
+  double mMemoryTokens = 0;
+  double mPrefillTokensPerMs = 1; ///< Without the cost of token pairs.
+  /// Added for each million pairs of a prompt token and an earlier token.
+  double mPrefillMsPerMillionPairs = 0;
+  double mStepMs = 0;                  ///< Base time of one decode step.
+  double mStepMsPerRequest = 0;        ///< Added for each decoding request.
   double mStepMsPerThousandTokens = 0; ///< Added per 1,000 tokens of context.
-  double mStepsPerPass = 1;            ///< Steps of one pass that has writers.
-  double mMeanAnswerTokens = 0;        ///< Mean size of an answer.
+  /// Decode steps in one pass of an engine that has requests to decode.
+  double mStepsPerPass = 1;
+  double mMeanAnswerTokens = 0;
 
   bool operator==(const engine_timing&) const = default;
 };
 
-/// Milliseconds that one engine takes to read a whole prompt alone.
+/// Milliseconds that one engine takes to prefill a whole prompt alone.
 double
 PrefillMs(const engine_timing& aEngine, double aPromptTokens);
 
-/// Milliseconds of one pass that writes for these requests and reads nothing.
+/// Milliseconds of one pass that decodes this number of requests, with a total
+/// context of `aContextTokens`, and prefills nothing.
 double
 DecodePassMs(const engine_timing& aEngine,
-             double aWriters,
+             double aRequests,
              double aContextTokens);
 
 } // namespace primrose
--- a/Libraries/LibFleet/LibFleet.h
+++ b/Libraries/LibFleet/LibFleet.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// LibFleet: what an entry that forwards straight to the endpoints believes and
-/// decides: the manifest in force, the list of endpoints, what each engine has
-/// been given to read, where a request goes, and how often it may be repeated.
-/// No I/O, no clock, no thread.
+/// LibFleet: the fleet state and the decisions of a gateway that forwards
+/// requests directly to the endpoints: the manifest in force, the endpoint
+/// registry, the work assigned to each engine, the choice of endpoints for a
+/// request, and the limits on retries. Does no I/O, reads no clock and starts
+/// no threads.
 
 #include "LibFleet/Budget.h"
 #include "LibFleet/EndpointLimits.h"
--- a/Libraries/LibFleet/PlacementAdmission.cpp
+++ b/Libraries/LibFleet/PlacementAdmission.cpp
@@ -8,71 +8,72 @@
 
 namespace {
 
-/// Reading that waits on the mean engine when a second costs the full price. A
-/// prompt that comes then waits for a quarter to two thirds of the objectives
-/// of long prompts.
+/// Mean backlog of the engines from which a second of prefill has the full
+/// price. A prompt that arrives then waits for a quarter to two thirds of the
+/// latency targets of long prompts.
 constexpr double kFullBacklogMs = 1000;
-/// Share of a request's worth that its caller loses when it is turned away,
-/// beside the answer itself: it has to come back.
+/// Share of a request's worth that its caller loses when it is refused, in
+/// addition to the answer itself, because the caller has to retry.
 constexpr double kLostWhenRefused = 0.3;
 
 /// Upper bound of the factor that scales the gain of a prompt whose worth is
 /// above the mean of its kind.
 constexpr double kMaxGainFactor = 2.5;
-/// Placed requests of a kind that are required to compute its mean worth.
+/// Minimum number of placed requests of a kind to compute its mean worth.
 constexpr std::size_t kMinSampleSize = 4;
 
-/// Share of its gain that a prompt may take from others without waiting for a
-/// better moment. Its price is no reason to wait: that follows the backlog of
+/// A prompt waits for a better moment if its harm exceeds this share of its
+/// gain. Its price is no reason to wait, because that follows the backlog of
 /// all engines, which changes more slowly.
-constexpr double kUnpostponedHarm = 0.6;
-/// Share of its objective for which a prompt waits for a place that takes less
-/// from others. The rest is left for reading it.
+constexpr double kMaxHarmWithoutWait = 0.6;
+/// Share of its latency target for which a prompt may wait for a placement with
+/// less harm. The rest is left for its prefill.
 constexpr double kMaxWaitShare = 0.6;
 constexpr duration kMaxWait = std::chrono::milliseconds(2500);
 
 constexpr double kMsPerSecond = 1e3;
 
 /// The mean worth of the placed requests of the same kind, that is, with the
-/// same objective and allowed pause. Falls back to the worth of the request
-/// itself if there are too few.
+/// same latency target and allowed pause. Falls back to the worth of the
+/// request itself if there are too few.
 double
-MeanWorthOfKind(const engine_ledger& aLedger, const placement_request& aWork)
+MeanWorthOfKind(const engine_ledger& aLedger, const placement_request& aRequest)
 {
   double sum = 0;
   std::size_t count = 0;
   for (const auto& [key, placed] : aLedger.mPlacements) {
-    if (placed.mObjective == aWork.mObjective &&
-        placed.mLongestPause == aWork.mLongestPause) {
+    if (placed.mObjective == aRequest.mObjective &&
+        placed.mLongestPause == aRequest.mLongestPause) {
       sum += placed.mWorth;
       ++count;
     }
   }
-  return count < kMinSampleSize ? aWork.mWorth
+  return count < kMinSampleSize ? aRequest.mWorth
                                 : sum / static_cast<double>(count);
 }
 
 /// The gain of a prompt, scaled up if its worth is above the mean of its kind.
-/// Harm grows with the square of the prompt size and has no cap: unscaled,
-/// bursts would starve the largest prompts of a kind. The factor counts twice
-/// for a prompt that has waited: the largest are those that wait.
+/// Harm grows with the square of the prompt size and has no cap, so without
+/// scaling the largest prompts of a kind would starve in bursts. The factor is
+/// squared for a prompt that has waited, since the largest are those that wait.
 double
 ScaledGain(const engine_choice& aChoice,
            const engine_ledger& aLedger,
-           const placement_request& aWork,
+           const placement_request& aRequest,
            bool aHasWaited)
 {
   const double factor = std::clamp(
-    aWork.mWorth / MeanWorthOfKind(aLedger, aWork), 1.0, kMaxGainFactor);
+    aRequest.mWorth / MeanWorthOfKind(aLedger, aRequest), 1.0, kMaxGainFactor);
   return aChoice.mGain * (aHasWaited ? factor * factor : factor);
 }
 
-/// How long after its caller asked a prompt may wait for a better place.
+/// Time since a prompt's arrival until which it may wait for a better
+/// placement.
 duration
-MaxWait(const placement_request& aWork)
+MaxWait(const placement_request& aRequest)
 {
   return std::min(kMaxWait,
-                  FromSeconds(kMaxWaitShare * Seconds(aWork.mObjective)));
+                  FromSeconds(kMaxWaitShare * Seconds(aRequest.mObjective)));
 }
 
 } // namespace
@@ -89,32 +90,34 @@
 }
 
 void
-Judge(engine_choice& aChoice,
-      const engine_ledger& aLedger,
-      const placement_request& aWork,
-      double aReadingMs)
+DecideAdmission(engine_choice& aChoice,
+                const engine_ledger& aLedger,
+                const placement_request& aRequest,
+                double aPrefillMs)
 {
-  const double mostGain = (1 + kLostWhenRefused) * aWork.mWorth;
-  aChoice.mGain = mostGain - LatenessCost(aChoice.mFirstEventMs, aWork);
-  // Reading grows with the square of a prompt, what it gains does not: priced
-  // by the second alone, the largest of a kind would be rejected first. The
-  // price is therefore capped at the most that the prompt can gain, scaled by
-  // the ratio of the current backlog to a full one.
-  // What holds engines for long is in the harm: that is a bound on the length
-  // of its parts, of which there can be more.
+  const double maxGain = (1 + kLostWhenRefused) * aRequest.mWorth;
+  aChoice.mGain = maxGain - LatenessCost(aChoice.mFirstEventMs, aRequest);
+  // Prefill time grows with the square of the prompt size, the gain does not.
+  // At a price for each second alone, the largest prompts of a kind would be
+  // refused first. The price is therefore capped at the maximum gain of the
+  // prompt, scaled by the ratio of the current backlog to a full one.
+  // The cost of blocking engines for long is part of the harm instead
+  // (`FutureRequestHarm`). That limits the length of the parts, while a larger
+  // prompt can be divided into more of them.
   aChoice.mPrice =
-    std::min(aChoice.mPrefillSecondPrice * aReadingMs / kMsPerSecond,
-             aChoice.mPrefillSecondPrice / kWorthOfBusyEngineSecond * mostGain);
+    std::min(aChoice.mPrefillSecondPrice * aPrefillMs / kMsPerSecond,
+             aChoice.mPrefillSecondPrice / kWorthOfBusyEngineSecond * maxGain);
   if (aChoice.mVerdict != placement_verdict::Send) {
     return;
   }
-  const bool hasWaited = aWork.mElapsed >= kReevaluationInterval;
+  const bool hasWaited = aRequest.mElapsed >= kReevaluationInterval;
   const double harm = TotalHarm(aChoice.mHarm);
   const double cost = harm + aChoice.mPrice;
-  const bool covered = cost <= aChoice.mGain ||
-                       cost <= ScaledGain(aChoice, aLedger, aWork, hasWaited);
-  if (harm > aChoice.mGain * kUnpostponedHarm && (covered || hasWaited) &&
-      aWork.mElapsed < MaxWait(aWork)) {
+  const bool covered =
+    cost <= aChoice.mGain ||
+    cost <= ScaledGain(aChoice, aLedger, aRequest, hasWaited);
+  if (harm > aChoice.mGain * kMaxHarmWithoutWait && (covered || hasWaited) &&
+      aRequest.mElapsed < MaxWait(aRequest)) {
     aChoice.mVerdict = placement_verdict::Wait;
   } else if (!covered) {
     aChoice.mVerdict = placement_verdict::TurnAway;
--- a/Libraries/LibFleet/PlacementCandidates.cpp
+++ b/Libraries/LibFleet/PlacementCandidates.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Memory that is planned with; the rest covers answers that grow.
-constexpr double kUsableMemory = 0.95;
+/// Share of an engine's memory that placements may use. The rest is left for
+/// answers that get longer than expected.
+constexpr double kUsableMemoryShare = 0.95;
 constexpr double kMsPerSecond = 1e3;
 
 std::vector<decoding_stream>
@@ -28,11 +29,11 @@
 }
 
 std::vector<prefilling_prompt>
-ReadingsOn(const engine_ledger& aLedger,
+PrefillsOn(const engine_ledger& aLedger,
            const engine_load& aLoad,
            time_point aNow)
 {
-  std::vector<prefilling_prompt> readings;
+  std::vector<prefilling_prompt> prefills;
   for (const placement_key key : aLoad.mPrefilling) {
     const auto placed = aLedger.mPlacements.find(key);
     if (placed == aLedger.mPlacements.end() ||
@@ -40,21 +41,21 @@
       continue;
     }
     const placement& one = placed->second;
-    readings.push_back({ key,
+    prefills.push_back({ key,
                          one.mWorth,
                          ToMs(one.mObjective),
                          ToMs(aNow - one.mBegan),
                          ToMs(one.mPrefillEndsAt - aNow),
                          static_cast<double>(one.mEngines.size()) });
   }
-  return readings;
+  return prefills;
 }
 
 double
 FreeTokens(const engine_timing& aTiming, const engine_load& aLoad)
 {
   return aTiming.mMemoryTokens > 0
-           ? aTiming.mMemoryTokens * kUsableMemory - aLoad.mTokens
+           ? aTiming.mMemoryTokens * kUsableMemoryShare - aLoad.mTokens
            : std::numeric_limits<double>::max();
 }
 
@@ -67,28 +68,28 @@
 }
 
 std::vector<engine_candidate>
-EngineCandidates(endpoint_registry& aBoard,
+EngineCandidates(endpoint_registry& aRegistry,
                  const engine_ledger& aLedger,
                  const engine_timing& aTiming,
-                 const placement_request& aWork,
+                 const placement_request& aRequest,
                  const std::vector<std::string>& aTried,
                  std::string_view aDataCentre,
                  time_point aNow)
 {
   static const engine_load kIdle{};
-  const auto usable = [&aWork, &aTried, aNow](const std::string& aId,
-                                              const known_endpoint& aKnown) {
-    return Admissible(aKnown, aWork.mService, aNow) &&
+  const auto usable = [&aRequest, &aTried, aNow](const std::string& aId,
+                                                 const known_endpoint& aKnown) {
+    return Admissible(aKnown, aRequest.mService, aNow) &&
            std::find(aTried.begin(), aTried.end(), aId) == aTried.end();
   };
   const bool anyPreferred = std::any_of(
-    aBoard.mEndpoints.begin(),
-    aBoard.mEndpoints.end(),
+    aRegistry.mEndpoints.begin(),
+    aRegistry.mEndpoints.end(),
     [&usable](const auto& aEntry) {
       return aEntry.second.mPreferred && usable(aEntry.first, aEntry.second);
     });
   std::vector<engine_candidate> candidates;
-  for (auto& [id, known] : aBoard.mEndpoints) {
+  for (auto& [id, known] : aRegistry.mEndpoints) {
     if ((anyPreferred && !known.mPreferred) || !usable(id, known)) {
       continue;
     }
@@ -100,21 +101,21 @@
     one.mBacklogMs = BacklogMs(load, aNow);
     one.mFreeTokens = FreeTokens(aTiming, load);
     one.mStreams = StreamsOn(aLedger, load);
-    one.mPrefills = ReadingsOn(aLedger, load, aNow);
+    one.mPrefills = PrefillsOn(aLedger, load, aNow);
     one.mRequests = RequestsOn(load, aNow);
     one.mDecodePassMs = DecodePassMs(aTiming,
                                      static_cast<double>(one.mRequests + 1),
-                                     load.mTokens + aWork.mPromptTokens);
+                                     load.mTokens + aRequest.mPromptTokens);
     one.mAvoided = Avoided(known, aNow);
     one.mInOtherDataCentre = known.mListed.mDataCentre != aDataCentre;
     candidates.push_back(std::move(one));
   }
-  // Engines with bad signs are left out while enough others are there.
-  const std::size_t sound = static_cast<std::size_t>(std::count_if(
+  // Avoided engines are left out if at least half of the engines remain.
+  const std::size_t healthy = static_cast<std::size_t>(std::count_if(
     candidates.begin(), candidates.end(), [](const engine_candidate& aOne) {
       return !aOne.mAvoided;
     }));
-  if (sound > 0 && sound * 2 >= candidates.size()) {
+  if (healthy > 0 && healthy * 2 >= candidates.size()) {
     std::erase_if(candidates,
                   [](const engine_candidate& aOne) { return aOne.mAvoided; });
   }
@@ -124,10 +125,11 @@
 bool
 HasRoom(const engine_candidate& aCandidate,
         const engine_timing& aTiming,
-        const placement_request& aWork)
+        const placement_request& aRequest)
 {
   return aCandidate.mRequests < aTiming.mSlots &&
-         aCandidate.mFreeTokens >= aWork.mPromptTokens + aWork.mAnswerTokens;
+         aCandidate.mFreeTokens >=
+           aRequest.mPromptTokens + aRequest.mAnswerTokens;
 }
 
 } // namespace primrose
--- a/Libraries/LibFleet/PlacementCandidates.h
+++ b/Libraries/LibFleet/PlacementCandidates.h
@@ -1,31 +1,31 @@
 #pragma once
 
-/// What a placement chooses from: the engines that may take a request, with
-/// what each has to read and to write. Internal to LibFleet.
+/// The engines that may be chosen for a request, with the prefill and decode
+/// work of each. Internal to LibFleet.
 
 #include "LibFleet/EnginePlacement.h"
 
 namespace primrose {
 
-/// A stream that an engine writes.
+/// A stream that an engine decodes.
 struct decoding_stream
 {
-  double mLongestPauseMs = 0;
+  double mLongestPauseMs = 0; ///< Allowed between two events.
   double mWorth = 0;
-  bool mPauseExceeded = false; ///< A pause is over its limit already.
+  bool mPauseExceeded = false; ///< A pause has exceeded the limit already.
 
   bool operator==(const decoding_stream&) const = default;
 };
 
-/// A prompt that an engine still reads, alone or with others.
+/// A prompt that an engine is prefilling, alone or with other engines.
 struct prefilling_prompt
 {
   placement_key mKey = 0;
   double mWorth = 0;
-  double mObjectiveMs = 0;
-  double mElapsedMs = 0;     ///< Since its caller asked.
-  double mPrefillLeftMs = 0; ///< Until all of it is read.
-  double mEngines = 1;       ///< That read it.
+  double mObjectiveMs = 0;   ///< Latency target of the first event.
+  double mElapsedMs = 0;     ///< Since the gateway received the request.
+  double mPrefillLeftMs = 0; ///< Until all of its parts are prefilled.
+  double mEngineCount = 1;   ///< Engines that prefill a part of it.
 
   bool operator==(const prefilling_prompt&) const = default;
 };
@@ -33,32 +33,32 @@
 struct engine_candidate
 {
   known_endpoint* mEndpoint = nullptr;
-  double mBacklogMs = 0; ///< Reading that waits there.
+  double mBacklogMs = 0; ///< Queued prefill time.
   double mFreeTokens = 0;
-  double mDecodePassMs = 0; ///< Of a pass that also writes this request.
+  double mDecodePassMs = 0; ///< Of a pass that also decodes this request.
   std::vector<decoding_stream> mStreams;
   std::vector<prefilling_prompt> mPrefills;
-  std::size_t mRequests = 0; ///< That write or wait there.
+  std::size_t mRequests = 0; ///< Running or queued there.
   bool mAvoided = false;
-  bool mInOtherDataCentre = false; ///< In another data centre.
+  bool mInOtherDataCentre = false;
 };
 
-/// The engines that may take the request; those with bad signs are left out
-/// while enough others are there.
+/// The engines that may be chosen for the request. Avoided engines are left out
+/// if at least half of the engines are not avoided.
 std::vector<engine_candidate>
-EngineCandidates(endpoint_registry& aBoard,
+EngineCandidates(endpoint_registry& aRegistry,
                  const engine_ledger& aLedger,
                  const engine_timing& aTiming,
-                 const placement_request& aWork,
+                 const placement_request& aRequest,
                  const std::vector<std::string>& aTried,
                  std::string_view aDataCentre,
                  time_point aNow);
 
-/// True if the engine has a slot and memory for the whole request.
+/// True if the engine has a free slot and memory for the whole request.
 bool
 HasRoom(const engine_candidate& aCandidate,
         const engine_timing& aTiming,
-        const placement_request& aWork);
+        const placement_request& aRequest);
 
 double
 ToMs(duration aTime);
--- a/Libraries/LibFleet/PlacementCosts.cpp
+++ b/Libraries/LibFleet/PlacementCosts.cpp
@@ -6,30 +6,33 @@
 
 namespace {
 
-/// What a pause may have beyond the reading that is known: reading that other
-/// entries place at the same moment, and the wire.
+/// Allowance in the estimate of a pause for prefill that other gateways place
+/// at the same moment and for network latency.
 constexpr double kPauseMarginMs = 30;
 /// Share of a request's worth that is lost when it is late.
 constexpr double kLostWhenLate = 0.75;
-/// Expected share of the objective from which being late becomes likely.
-constexpr double kLateFrom = 0.6;
-/// Added for each further objective of delay, so that of two late places the
-/// earlier one is taken.
-constexpr double kLaterPenalty = 0.2;
-/// Writers gathered on one engine, as a share of its slots. The rest is left
-/// for what other entries place in the same moment.
-constexpr double kGatheredShare = 0.75;
-/// Shares of a request's worth: for starting to write on an engine that long
-/// prompts could have used, and on one that they do use.
-constexpr double kOpeningPenalty = 0.2;
+/// A request becomes likely to be late if its first event is expected after
+/// this share of its latency target.
+constexpr double kLateFromShare = 0.6;
+/// Cost of each further latency target of delay, as a share of the cost of
+/// being late, so that the earlier of two late placements is chosen.
+constexpr double kFurtherDelayPenalty = 0.2;
+/// Requests that are packed on one engine, as a share of its slots. The rest is
+/// left for requests that other gateways place at the same moment.
+constexpr double kPackedShare = 0.75;
+/// Costs of a stream, as shares of its worth: on an engine without streams like
+/// it, which could have prefilled long prompts, and on one that is prefilling
+/// them.
+constexpr double kUnpackedPenalty = 0.2;
 constexpr double kMixingPenalty = 0.45;
-/// For each writer more, up to the number gathered and beyond it.
-constexpr double kGatherGain = 0.01;
-constexpr double kCrowdPenalty = 0.13;
-/// A caller leaves a stream whose next event takes longer than eight times the
-/// allowed pause, or than two seconds.
-constexpr double kAbandonedPauses = 8;
-constexpr double kAbandonedMs = 2000;
+/// Gain for each request on the engine up to `kPackedShare`, and cost of each
+/// request above it.
+constexpr double kPackingGain = 0.01;
+constexpr double kCrowdingPenalty = 0.13;
+/// A caller cancels a stream if the next event takes longer than both eight
+/// times the allowed pause and two seconds.
+constexpr double kAbandonAfterPauses = 8;
+constexpr double kAbandonAfterMs = 2000;
 constexpr double kMsPerSecond = 1e3;
 
 } // namespace
@@ -38,48 +41,50 @@
 LatenessCost(double aFirstMs, double aObjectiveMs, double aWorth)
 {
   const double share = aFirstMs / aObjectiveMs;
-  if (share <= kLateFrom) {
+  if (share <= kLateFromShare) {
     return 0;
   }
-  const double likely = share < 1 ? (share - kLateFrom) / (1 - kLateFrom)
-                                  : 1 + kLaterPenalty * (share - 1);
+  const double likely = share < 1
+                          ? (share - kLateFromShare) / (1 - kLateFromShare)
+                          : 1 + kFurtherDelayPenalty * (share - 1);
   return kLostWhenLate * aWorth * likely;
 }
 
 double
-LatenessCost(double aFirstMs, const placement_request& aWork)
+LatenessCost(double aFirstMs, const placement_request& aRequest)
 {
-  return LatenessCost(aFirstMs, ToMs(aWork.mObjective), aWork.mWorth);
+  return LatenessCost(aFirstMs, ToMs(aRequest.mObjective), aRequest.mWorth);
 }
 
 double
-PrefillDelayHarm(const prefilling_prompt& aReading, double aEndsMs)
+PrefillDelayHarm(const prefilling_prompt& aPrompt, double aEndsMs)
 {
-  if (aEndsMs <= aReading.mPrefillLeftMs || aReading.mObjectiveMs <= 0) {
+  if (aEndsMs <= aPrompt.mPrefillLeftMs || aPrompt.mObjectiveMs <= 0) {
     return 0;
   }
-  const auto cost = [&aReading](double aReadMs) {
-    return LatenessCost(
-      aReading.mElapsedMs + aReadMs, aReading.mObjectiveMs, aReading.mWorth);
+  const auto cost = [&aPrompt](double aPrefillEndsMs) {
+    return LatenessCost(aPrompt.mElapsedMs + aPrefillEndsMs,
+                        aPrompt.mObjectiveMs,
+                        aPrompt.mWorth);
   };
-  return cost(aEndsMs) - cost(aReading.mPrefillLeftMs);
+  return cost(aEndsMs) - cost(aPrompt.mPrefillLeftMs);
 }
 
 double
-EnginePrefillDelayHarm(const engine_candidate& aCandidate, double aReadingMs)
+EnginePrefillDelayHarm(const engine_candidate& aCandidate, double aPrefillMs)
 {
-  const double ends = aCandidate.mBacklogMs + aReadingMs;
+  const double ends = aCandidate.mBacklogMs + aPrefillMs;
   double harm = 0;
   for (const prefilling_prompt& one : aCandidate.mPrefills) {
-    harm += PrefillDelayHarm(one, ends) / one.mEngines;
+    harm += PrefillDelayHarm(one, ends) / one.mEngineCount;
   }
   return harm;
 }
 
 double
-PauseHarm(const engine_candidate& aCandidate, double aReadingMs)
+PauseHarm(const engine_candidate& aCandidate, double aPrefillMs)
 {
-  const double pause = aCandidate.mBacklogMs + aReadingMs +
+  const double pause = aCandidate.mBacklogMs + aPrefillMs +
                        aCandidate.mDecodePassMs + kPauseMarginMs;
   double harm = 0;
   for (const decoding_stream& one : aCandidate.mStreams) {
@@ -87,7 +92,7 @@
       harm += kLostWhenLate * one.mWorth;
     }
     if (pause >
-        std::max(kAbandonedMs, kAbandonedPauses * one.mLongestPauseMs)) {
+        std::max(kAbandonAfterMs, kAbandonAfterPauses * one.mLongestPauseMs)) {
       harm += (1 - kLostWhenLate) * one.mWorth;
     }
   }
@@ -97,20 +102,20 @@
 double
 PackingCost(const engine_candidate& aCandidate,
             const engine_timing& aTiming,
-            const placement_request& aWork)
+            const placement_request& aRequest)
 {
-  const double own = ToMs(aWork.mLongestPause);
-  const bool longReading =
+  const double own = ToMs(aRequest.mLongestPause);
+  const bool longPrefill =
     aCandidate.mBacklogMs + aCandidate.mDecodePassMs + kPauseMarginMs > own ||
     std::any_of(
       aCandidate.mStreams.begin(),
       aCandidate.mStreams.end(),
       [](const decoding_stream& aOne) { return aOne.mPauseExceeded; });
-  const double writers = static_cast<double>(aCandidate.mRequests);
-  const double gathered = kGatheredShare * aTiming.mSlots;
-  const double crowd = kCrowdPenalty * std::max(0.0, writers - gathered);
-  if (longReading) {
-    return kMixingPenalty * aWork.mWorth + crowd;
+  const double requests = static_cast<double>(aCandidate.mRequests);
+  const double packed = kPackedShare * aTiming.mSlots;
+  const double crowding = kCrowdingPenalty * std::max(0.0, requests - packed);
+  if (longPrefill) {
+    return kMixingPenalty * aRequest.mWorth + crowding;
   }
   const std::size_t alike =
     static_cast<std::size_t>(std::count_if(aCandidate.mStreams.begin(),
@@ -119,18 +124,21 @@
                                              return aOne.mLongestPauseMs <= own;
                                            }));
   if (alike == 0) {
-    return kOpeningPenalty * aWork.mWorth + crowd;
+    return kUnpackedPenalty * aRequest.mWorth + crowding;
   }
-  return writers > gathered ? crowd : -kGatherGain * writers;
+  return requests > packed ? crowding : -kPackingGain * requests;
 }
 
 double
-FutureRequestHarm(double aSlotsTaken, double aPartMs, std::size_t aParts)
+FutureRequestHarm(double aSlotUtilisation,
+                  double aPartPrefillMs,
+                  std::size_t aParts)
 {
-  // Requests that arrive during a long part are in no sum yet. The share of
-  // slots taken now is the estimate of how many there will be.
-  const double held = std::max(0.0, aPartMs - kAbandonedMs) / kMsPerSecond;
-  return kWorthOfBusyEngineSecond * aSlotsTaken * held *
+  // The ledger does not contain requests that arrive during the prefill of a
+  // long part. Their number is estimated from the current slot utilisation.
+  const double blockedSeconds =
+    std::max(0.0, aPartPrefillMs - kAbandonAfterMs) / kMsPerSecond;
+  return kWorthOfBusyEngineSecond * aSlotUtilisation * blockedSeconds *
          static_cast<double>(aParts);
 }
 
@@ -138,11 +146,11 @@
 SlotUtilisation(const std::vector<engine_candidate>& aCandidates,
                 const engine_timing& aTiming)
 {
-  double taken = 0;
+  double used = 0;
   for (const engine_candidate& one : aCandidates) {
-    taken += std::min(1.0, static_cast<double>(one.mRequests) / aTiming.mSlots);
+    used += std::min(1.0, static_cast<double>(one.mRequests) / aTiming.mSlots);
   }
-  return taken / static_cast<double>(aCandidates.size());
+  return used / static_cast<double>(aCandidates.size());
 }
 
 } // namespace primrose
--- a/Libraries/LibFleet/PlacementCosts.h
+++ b/Libraries/LibFleet/PlacementCosts.h
@@ -1,18 +1,20 @@
 #pragma once
 
-/// What a place costs callers, in worth: of the request itself if it is late,
-/// and of the streams whose pauses it stretches. Internal to LibFleet.
+/// The worth that callers are expected to lose by a placement: that of the
+/// request itself if it is late, and that of other requests which it delays.
+/// Internal to LibFleet.
 
 #include "LibFleet/PlacementCandidates.h"
 
 namespace primrose {
 
-/// Passes between a prompt's reading and its first event at the caller: the
-/// one in progress when it came, and the one that writes the event.
+/// Passes that add to the time between a prompt's arrival and its first event,
+/// besides its prefill: the pass in progress at its arrival, and the pass that
+/// decodes the event.
 inline constexpr double kPassesToFirstEvent = 2;
 
-/// What a second of one engine is worth when all have much to read: about what
-/// short prompts earn.
+/// Worth of a second of one engine when all engines have a long backlog: about
+/// what short prompts earn in it.
 inline constexpr double kWorthOfBusyEngineSecond = 8;
 
 /// Worth that is likely lost if the first event takes this long.
@@ -20,36 +22,39 @@
 LatenessCost(double aFirstMs, double aObjectiveMs, double aWorth);
 
 double
-LatenessCost(double aFirstMs, const placement_request& aWork);
+LatenessCost(double aFirstMs, const placement_request& aRequest);
 
-/// Worth of the streams whose pauses this reading would stretch.
+/// Worth of the engine's streams whose pauses this prefill would make too long.
 double
-PauseHarm(const engine_candidate& aCandidate, double aReadingMs);
+PauseHarm(const engine_candidate& aCandidate, double aPrefillMs);
 
-/// Worth that a prompt which is still being read likely loses if that ends so
-/// late, beyond what it loses as it is.
+/// Additional worth that a prompt is likely to lose if its remaining prefill
+/// ends after `aEndsMs` instead of `mPrefillLeftMs`.
 double
-PrefillDelayHarm(const prefilling_prompt& aReading, double aEndsMs);
+PrefillDelayHarm(const prefilling_prompt& aPrompt, double aEndsMs);
 
-/// The same for all that an engine reads, if it is given so much more. Of what
-/// several engines read together, each counts its share.
+/// The sum of `PrefillDelayHarm` over all prompts that the engine prefills, if
+/// it is given this prefill as well. A prompt that is divided over several
+/// engines counts by this engine's share.
 double
-EnginePrefillDelayHarm(const engine_candidate& aCandidate, double aReadingMs);
+EnginePrefillDelayHarm(const engine_candidate& aCandidate, double aPrefillMs);
 
-/// What writing a stream with tight pauses here costs beyond the moment: such
-/// streams are to gather where no long prompts are read.
+/// Lasting cost of decoding a stream with a short allowed pause on this engine.
+/// It makes such streams gather on engines that do not prefill long prompts.
 double
 PackingCost(const engine_candidate& aCandidate,
             const engine_timing& aTiming,
-            const placement_request& aWork);
+            const placement_request& aRequest);
 
-/// What parts of this length, one on each of so many engines, take from
-/// requests that come while they are read, by the share of all slots that is
-/// taken now.
+/// Worth that requests which arrive later are expected to lose while each of
+/// `aParts` engines prefills a part for `aPartPrefillMs`. `aSlotUtilisation` is
+/// the share of all slots that is in use now.
 double
-FutureRequestHarm(double aSlotsTaken, double aPartMs, std::size_t aParts);
+FutureRequestHarm(double aSlotUtilisation,
+                  double aPartPrefillMs,
+                  std::size_t aParts);
 
-/// The share of the engines' slots that requests take. There is at least one
+/// The share of the engines' slots that is in use. Requires at least one
 /// candidate.
 double
 SlotUtilisation(const std::vector<engine_candidate>& aCandidates,
--- a/Libraries/LibFleet/PlacementDivision.cpp
+++ b/Libraries/LibFleet/PlacementDivision.cpp
@@ -9,32 +9,33 @@
 
 namespace {
 
-/// Engines that one prompt may be divided over: the writer and its helpers.
-constexpr std::size_t kMostParts = 17;
-/// For each engine that a prompt is divided over, and for the time until its
-/// parts are read, as shares of its worth.
+/// Maximum number of engines for one prompt: the decode engine and its helpers.
+constexpr std::size_t kMaxParts = 17;
+/// Costs as shares of the prompt's worth: of each engine that it is divided
+/// over, and of each latency target that passes until its parts are prefilled.
 constexpr double kPartPenalty = 0.001;
 constexpr double kTimePenalty = 0.05;
 
-/// The engine that keeps the prompt's memory and writes: one with room, few
-/// tight streams beside it, and the most free memory.
+/// Chooses the engine that holds the prompt in memory and decodes the answer:
+/// one with room, then with the fewest streams whose allowed pauses are
+/// shorter, then with the most free memory.
 const engine_candidate*
-ChooseWriter(const std::vector<const engine_candidate*>& aEngines,
-             const placing& aPlacing)
+ChooseDecodeEngine(const std::vector<const engine_candidate*>& aEngines,
+                   const division_inputs& aInputs)
 {
   const engine_candidate* best = nullptr;
   std::tuple<bool, std::size_t, double> bestRank;
-  const double own = ToMs(aPlacing.mWork.mLongestPause);
+  const double own = ToMs(aInputs.mRequest.mLongestPause);
   for (const engine_candidate* const one : aEngines) {
-    const std::size_t tight = static_cast<std::size_t>(
+    const std::size_t shorterPauses = static_cast<std::size_t>(
       std::count_if(one->mStreams.begin(),
                     one->mStreams.end(),
                     [own](const decoding_stream& aOne) {
                       return aOne.mLongestPauseMs < own;
                     }));
     const std::tuple<bool, std::size_t, double> rank(
-      !HasRoom(*one, aPlacing.mTiming, aPlacing.mWork),
-      tight,
+      !HasRoom(*one, aInputs.mTiming, aInputs.mRequest),
+      shorterPauses,
       -one->mFreeTokens);
     if (best == nullptr || rank < bestRank) {
       best = one;
@@ -44,24 +45,25 @@
   return best;
 }
 
-/// Adds memory on readers where the writer's own does not do.
+/// Selects helpers to hold the part of the prompt that does not fit into the
+/// memory of the decode engine.
 void
-AddHolders(division& aDivision, const placement_request& aWork)
+AddHolders(prompt_division& aDivision, const placement_request& aRequest)
 {
-  const double missing = aWork.mPromptTokens + aWork.mAnswerTokens -
+  const double missing = aRequest.mPromptTokens + aRequest.mAnswerTokens -
                          std::max(0.0, aDivision.mDecodeEngine->mFreeTokens);
   if (missing <= 0) {
     return;
   }
-  std::vector<const engine_candidate*>& readers = aDivision.mPrefillHelpers;
-  std::sort(readers.begin(),
-            readers.end(),
+  std::vector<const engine_candidate*>& helpers = aDivision.mPrefillHelpers;
+  std::sort(helpers.begin(),
+            helpers.end(),
             [](const engine_candidate* aOne, const engine_candidate* aOther) {
               return aOne->mFreeTokens > aOther->mFreeTokens;
             });
-  for (std::size_t holders = 1; holders <= readers.size(); ++holders) {
+  for (std::size_t holders = 1; holders <= helpers.size(); ++holders) {
     const double each = missing / static_cast<double>(holders);
-    if (readers[holders - 1]->mFreeTokens >= each) {
+    if (helpers[holders - 1]->mFreeTokens >= each) {
       aDivision.mHolders = holders;
       aDivision.mHolderTokens = each;
       return;
@@ -70,23 +72,23 @@
   aDivision.mFitsMemory = false;
 }
 
-/// The engines that are cheapest to read a part each. `aDelayWeight` prices
-/// what they have to read already.
+/// The engines with the lowest costs of prefilling a part each. `aDelayWeight`
+/// is the weight of their backlogs in the cost.
 std::vector<const engine_candidate*>
-CheapestEngines(const placing& aPlacing,
-                double aPartMs,
+CheapestEngines(const division_inputs& aInputs,
+                double aPartPrefillMs,
                 std::size_t aParts,
                 double aDelayWeight)
 {
   using priced = std::pair<double, const engine_candidate*>;
-  const double objective = ToMs(aPlacing.mWork.mObjective);
+  const double objective = ToMs(aInputs.mRequest.mObjective);
   std::vector<priced> order;
-  order.reserve(aPlacing.mCandidates.size());
-  for (const engine_candidate& one : aPlacing.mCandidates) {
+  order.reserve(aInputs.mCandidates.size());
+  for (const engine_candidate& one : aInputs.mCandidates) {
     const double delay = (one.mBacklogMs + one.mDecodePassMs) / objective;
-    order.emplace_back(PauseHarm(one, aPartMs) +
-                         EnginePrefillDelayHarm(one, aPartMs) +
-                         aDelayWeight * aPlacing.mWork.mWorth * delay,
+    order.emplace_back(PauseHarm(one, aPartPrefillMs) +
+                         EnginePrefillDelayHarm(one, aPartPrefillMs) +
+                         aDelayWeight * aInputs.mRequest.mWorth * delay,
                        &one);
   }
   std::partial_sort(order.begin(),
@@ -102,90 +104,93 @@
   return cheapest;
 }
 
-/// What prompts that these engines still read lose by a part more on each. A
-/// prompt is as late as the last of its engines, so it counts once.
+/// Worth that the prompts which these engines are prefilling lose if each of
+/// the engines is given another part. A prompt is as late as the last of its
+/// engines, so it counts once, with its largest harm.
 double
-DelayOfOthers(const std::vector<const engine_candidate*>& aEngines,
-              double aPartMs)
+TotalPrefillDelayHarm(const std::vector<const engine_candidate*>& aEngines,
+                      double aPartPrefillMs)
 {
-  std::map<placement_key, double> worst;
+  std::map<placement_key, double> largest;
   for (const engine_candidate* const one : aEngines) {
-    for (const prefilling_prompt& reading : one->mPrefills) {
-      double& harm = worst[reading.mKey];
-      harm =
-        std::max(harm, PrefillDelayHarm(reading, one->mBacklogMs + aPartMs));
+    for (const prefilling_prompt& prompt : one->mPrefills) {
+      double& harm = largest[prompt.mKey];
+      harm = std::max(
+        harm, PrefillDelayHarm(prompt, one->mBacklogMs + aPartPrefillMs));
     }
   }
   double sum = 0;
-  for (const auto& [key, harm] : worst) {
+  for (const auto& [key, harm] : largest) {
     sum += harm;
   }
   return sum;
 }
 
-/// The division over these engines.
-division
-DivideOver(const placing& aPlacing,
+/// Divides the prompt over these engines.
+prompt_division
+DivideOver(const division_inputs& aInputs,
            const std::vector<const engine_candidate*>& aEngines)
 {
-  const placement_request& work = aPlacing.mWork;
+  const placement_request& request = aInputs.mRequest;
   const double parts = static_cast<double>(aEngines.size());
-  division made;
-  made.mPartPrefillMs = aPlacing.mPrefillMs / parts;
-  made.mDecodeEngine = ChooseWriter(aEngines, aPlacing);
+  prompt_division result;
+  result.mPartPrefillMs = aInputs.mPrefillMs / parts;
+  result.mDecodeEngine = ChooseDecodeEngine(aEngines, aInputs);
   double wait = 0;
   for (const engine_candidate* const one : aEngines) {
-    made.mHarm.mStreams += PauseHarm(*one, made.mPartPrefillMs);
+    result.mHarm.mStreams += PauseHarm(*one, result.mPartPrefillMs);
     wait = std::max(wait, one->mBacklogMs);
-    if (one != made.mDecodeEngine) {
-      made.mPrefillHelpers.push_back(one);
+    if (one != result.mDecodeEngine) {
+      result.mPrefillHelpers.push_back(one);
     }
   }
-  made.mHarm.mPrefills = DelayOfOthers(aEngines, made.mPartPrefillMs);
-  made.mHarm.mFutureRequests = FutureRequestHarm(
-    aPlacing.mSlotUtilisation, made.mPartPrefillMs, aEngines.size());
-  made.mPrefillEndsMs = wait + made.mPartPrefillMs;
-  AddHolders(made, work);
-  const double first =
-    made.mPrefillEndsMs + kPassesToFirstEvent * aEngines.front()->mDecodePassMs;
-  made.mCost =
-    TotalHarm(made.mHarm) + LatenessCost(ToMs(work.mElapsed) + first, work) +
-    work.mWorth * (kTimePenalty * made.mPrefillEndsMs / ToMs(work.mObjective) +
-                   kPartPenalty * parts);
-  return made;
+  result.mHarm.mPrefills =
+    TotalPrefillDelayHarm(aEngines, result.mPartPrefillMs);
+  result.mHarm.mFutureRequests = FutureRequestHarm(
+    aInputs.mSlotUtilisation, result.mPartPrefillMs, aEngines.size());
+  result.mPrefillEndsMs = wait + result.mPartPrefillMs;
+  AddHolders(result, request);
+  const double first = result.mPrefillEndsMs +
+                       kPassesToFirstEvent * aEngines.front()->mDecodePassMs;
+  result.mCost = TotalHarm(result.mHarm) +
+                 LatenessCost(ToMs(request.mElapsed) + first, request) +
+                 request.mWorth * (kTimePenalty * result.mPrefillEndsMs /
+                                     ToMs(request.mObjective) +
+                                   kPartPenalty * parts);
+  return result;
 }
 
-/// The division over so many of the cheapest engines; if they have no memory
-/// for the prompt, with the engine that has most of it in the dearest one's
-/// place.
-division
-Divide(const placing& aPlacing, std::size_t aParts, double aDelayWeight)
+/// Divides the prompt over the `aParts` cheapest engines. If they do not have
+/// the memory for it, the most expensive of them is replaced by the engine with
+/// the most free memory.
+prompt_division
+Divide(const division_inputs& aInputs, std::size_t aParts, double aDelayWeight)
 {
   std::vector<const engine_candidate*> engines =
-    CheapestEngines(aPlacing,
-                    aPlacing.mPrefillMs / static_cast<double>(aParts),
+    CheapestEngines(aInputs,
+                    aInputs.mPrefillMs / static_cast<double>(aParts),
                     aParts,
                     aDelayWeight);
-  division made = DivideOver(aPlacing, engines);
-  if (made.mFitsMemory) {
-    return made;
+  prompt_division result = DivideOver(aInputs, engines);
+  if (result.mFitsMemory) {
+    return result;
   }
   const auto most = std::max_element(
-    aPlacing.mCandidates.begin(),
-    aPlacing.mCandidates.end(),
+    aInputs.mCandidates.begin(),
+    aInputs.mCandidates.end(),
     [](const engine_candidate& aOne, const engine_candidate& aOther) {
       return aOne.mFreeTokens < aOther.mFreeTokens;
     });
   if (std::find(engines.begin(), engines.end(), &*most) == engines.end()) {
     engines.back() = &*most;
   }
-  return DivideOver(aPlacing, engines);
+  return DivideOver(aInputs, engines);
 }
 
-/// True if the first is to be taken: one that has memory goes before one that
-/// has not, whatever it costs.
+/// True if the first division is better: one that fits into memory is better
+/// than one that does not, whatever their costs.
 bool
-IsBetter(const division& aOne, const division& aOther)
+IsBetter(const prompt_division& aOne, const prompt_division& aOther)
 {
   if (aOther.mDecodeEngine == nullptr) {
     return true;
@@ -196,16 +201,16 @@
 
 } // namespace
 
-division
-CheapestDivision(const placing& aPlacing)
+prompt_division
+CheapestDivision(const division_inputs& aInputs)
 {
-  constexpr double kPatient = 0.15;
-  constexpr double kHasty = 1;
-  division best;
-  const std::size_t most = std::min(kMostParts, aPlacing.mCandidates.size());
-  for (std::size_t parts = 1; parts <= most; ++parts) {
-    for (const double weight : { kPatient, kHasty }) {
-      division tried = Divide(aPlacing, parts, weight);
+  constexpr double kLowDelayWeight = 0.15;
+  constexpr double kHighDelayWeight = 1;
+  prompt_division best;
+  const std::size_t maxParts = std::min(kMaxParts, aInputs.mCandidates.size());
+  for (std::size_t parts = 1; parts <= maxParts; ++parts) {
+    for (const double weight : { kLowDelayWeight, kHighDelayWeight }) {
+      prompt_division tried = Divide(aInputs, parts, weight);
       if (IsBetter(tried, best)) {
         best = std::move(tried);
       }
--- a/Libraries/LibFleet/PlacementDivision.h
+++ b/Libraries/LibFleet/PlacementDivision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A long prompt cut into equal parts: over how many engines, and which.
+/// Divides a long prompt into equal parts: into how many, and on which engines.
 /// Internal to LibFleet.
 
 #include "LibFleet/PlacementCandidates.h"
@@ -9,33 +9,34 @@
 
 namespace primrose {
 
-/// A prompt cut into equal parts for several engines.
-struct division
+/// A prompt divided into equal parts for several engines.
+struct prompt_division
 {
   const engine_candidate* mDecodeEngine = nullptr;
-  std::vector<const engine_candidate*> mPrefillHelpers; ///< Besides the writer.
+  /// Engines that prefill parts, in addition to the decode engine.
+  std::vector<const engine_candidate*> mPrefillHelpers;
   double mPartPrefillMs = 0;
-  double mPrefillEndsMs = 0; ///< Until the last part is read.
+  double mPrefillEndsMs = 0; ///< Time until the last part is prefilled.
   placement_harm mHarm;
-  bool mFitsMemory = true;  ///< There is memory for it.
-  std::size_t mHolders = 0; ///< Of the readers, the first so many hold memory.
+  bool mFitsMemory = true;
+  std::size_t mHolders = 0; ///< The first so many helpers hold memory.
   double mHolderTokens = 0;
   double mCost = std::numeric_limits<double>::infinity();
 };
 
-/// What a placement is chosen by.
-struct placing
+/// The inputs of a division.
+struct division_inputs
 {
   const std::vector<engine_candidate>& mCandidates;
   const engine_timing& mTiming;
-  const placement_request& mWork;
+  const placement_request& mRequest;
   double mPrefillMs = 0;       ///< Of the whole prompt on one engine.
-  double mSlotUtilisation = 0; ///< The share of all engines' slots.
+  double mSlotUtilisation = 0; ///< The share of all engines' slots in use.
 };
 
-/// The cheapest of all numbers of parts; one that has memory goes before one
-/// that has not. There is at least one candidate.
-division
-CheapestDivision(const placing& aPlacing);
+/// The division with the lowest cost over all numbers of parts. Divisions that
+/// fit into memory are preferred. Requires at least one candidate.
+prompt_division
+CheapestDivision(const division_inputs& aInputs);
 
 } // namespace primrose
--- a/Tests/Unit/RingFixture.h
+++ b/Tests/Unit/RingFixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Fleets of many entries and engines, for the tests of who prefers what.
+/// Fixtures of many gateways and engines, for the tests of engine subsets.
 
 #include "LibFleet/LibFleet.h"
 
@@ -23,35 +23,35 @@
 inline endpoint_registry
 Engines(std::size_t aCount)
 {
-  endpoint_registry board;
+  endpoint_registry registry;
   for (std::size_t i = 0; i < aCount; ++i) {
     endpoint listed;
     listed.mId = "engine-" + std::to_string(i);
     listed.mService = "model";
     listed.mDataCentre = "a";
-    (void)ApplyRow(board, { listed.mId, 1, listed });
+    (void)ApplyRow(registry, { listed.mId, 1, listed });
   }
-  return board;
+  return registry;
 }
 
 inline subset_ring
-Ring(const std::vector<std::string>& aHosts, const endpoint_registry& aBoard)
+Ring(const std::vector<std::string>& aHosts, const endpoint_registry& aRegistry)
 {
   subset_ring ring;
-  AssignEnginePositions(ring, aBoard);
+  AssignEnginePositions(ring, aRegistry);
   AssignGatewayPositions(ring, aHosts);
   return ring;
 }
 
-/// Ids of the engines that the entry at this host prefers.
+/// Ids of the engines that the gateway at this host prefers.
 inline std::vector<std::string>
 PreferredBy(const subset_ring& aRing,
             const std::string& aHost,
-            endpoint_registry aBoard)
+            endpoint_registry aRegistry)
 {
-  MarkPreferred(aBoard, aRing, aHost);
+  MarkPreferred(aRegistry, aRing, aHost);
   std::vector<std::string> ids;
-  for (const auto& [id, known] : aBoard.mEndpoints) {
+  for (const auto& [id, known] : aRegistry.mEndpoints) {
     if (known.mPreferred) {
       ids.push_back(id);
     }
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -34,62 +34,64 @@
   return timing;
 }
 
-/// Entries that place short prompts and hear of one another with a delay.
-class burst
+/// Gateways that place short prompts and receive each other's placements with a
+/// delay.
+class burst_simulation
 {
 public:
-  burst(std::size_t aEntries, std::size_t aEngines)
-    : mHosts(Hosts(aEntries))
+  burst_simulation(std::size_t aGateways, std::size_t aEngines)
+    : mHosts(Hosts(aGateways))
     , mRing(Ring(mHosts, Engines(aEngines)))
   {
     for (const std::string& host : mHosts) {
-      mEntries.push_back({ Engines(aEngines), {} });
-      MarkPreferred(mEntries.back().mBoard, mRing, host);
+      mGateways.push_back({ Engines(aEngines), {} });
+      MarkPreferred(mGateways.back().mRegistry, mRing, host);
     }
   }
 
-  /// Places one prompt at an entry; true if its engine had a free slot.
-  bool Place(std::size_t aEntry,
+  /// Places one prompt at a gateway. True if its decode engine had a free slot.
+  bool Place(std::size_t aGateway,
              time_point aNow,
-             const placement_request& aWork)
+             const placement_request& aRequest)
   {
     Deliver(aNow);
-    entry& at = mEntries[aEntry];
-    const engine_choice choice =
-      *PlaceOnEngines(at.mBoard, at.mLedger, Timing(), aWork, {}, "a", aNow);
-    placement placed = PlacementOf(choice, aWork, ++mLast);
+    simulated_gateway& gateway = mGateways[aGateway];
+    const engine_choice choice = *PlaceOnEngines(
+      gateway.mRegistry, gateway.mLedger, Timing(), aRequest, {}, "a", aNow);
+    placement placed = PlacementOf(choice, aRequest, ++mLast);
     placed.mBegan = aNow;
     placed.mExpires = kStart + std::chrono::hours(1);
-    AddPlacement(at.mLedger, placed, aNow);
-    mOnTheWay.push_back({ aNow + kNewsDelay, aEntry, placed });
-    return ++mDecoding[placed.mEngines.front()] <= kSlots;
+    AddPlacement(gateway.mLedger, placed, aNow);
+    mMessages.push_back({ aNow + kGossipDelay, aGateway, placed });
+    return ++mRequestsOnEngine[placed.mEngines.front()] <= kSlots;
   }
 
 private:
-  /// Gathering, the way, and a slow entry's turn.
-  static constexpr duration kNewsDelay = milliseconds(6);
+  /// Time to batch a message, to transmit it, and until a slow gateway
+  /// processes it.
+  static constexpr duration kGossipDelay = milliseconds(6);
 
-  struct entry
+  struct simulated_gateway
   {
-    endpoint_registry mBoard;
+    endpoint_registry mRegistry;
     engine_ledger mLedger;
   };
-  struct news
+  struct message
   {
     time_point mDue{};
-    std::size_t mFrom = 0;
+    std::size_t mSender = 0;
     placement mPlaced;
   };
 
   void Deliver(time_point aNow)
   {
-    for (; !mOnTheWay.empty() && mOnTheWay.front().mDue <= aNow;
-         mOnTheWay.pop_front()) {
-      const news& one = mOnTheWay.front();
-      for (std::size_t i = 0; i < mEntries.size(); ++i) {
-        if (i != one.mFrom &&
+    for (; !mMessages.empty() && mMessages.front().mDue <= aNow;
+         mMessages.pop_front()) {
+      const message& one = mMessages.front();
+      for (std::size_t i = 0; i < mGateways.size(); ++i) {
+        if (i != one.mSender &&
             Prefers(mRing, mHosts[i], one.mPlaced.mEngines.front())) {
-          AddPlacement(mEntries[i].mLedger, one.mPlaced, one.mDue);
+          AddPlacement(mGateways[i].mLedger, one.mPlaced, one.mDue);
         }
       }
     }
@@ -97,9 +99,9 @@
 
   std::vector<std::string> mHosts;
   subset_ring mRing;
-  std::vector<entry> mEntries;
-  std::deque<news> mOnTheWay;
-  std::map<engine_key, std::size_t> mDecoding;
+  std::vector<simulated_gateway> mGateways;
+  std::deque<message> mMessages;
+  std::map<engine_key, std::size_t> mRequestsOnEngine;
   placement_key mLast = 0;
 };
 
@@ -108,64 +110,64 @@
 class subset_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(subset_test);
-  CPPUNIT_TEST(SmallFleetKnowsAll);
+  CPPUNIT_TEST(SmallFleetPrefersAllEngines);
   CPPUNIT_TEST(LoadIsSpreadEvenly);
-  CPPUNIT_TEST(OneMoreMovesArcsByOnePlace);
-  CPPUNIT_TEST(HalfOfTheEntriesReachEveryEngine);
-  CPPUNIT_TEST(StrangersArePreferred);
-  CPPUNIT_TEST(EachServiceHasAnOrderOfItsOwn);
-  CPPUNIT_TEST(OthersAreTakenWhenNoPreferredIsUsable);
-  CPPUNIT_TEST(BurstBeforeHundredsOfEnginesFindsFreeSlots);
+  CPPUNIT_TEST(MembershipChangeMovesArcsByOnePosition);
+  CPPUNIT_TEST(HalfOfTheGatewaysReachEveryEngine);
+  CPPUNIT_TEST(UnknownGatewaysAndEnginesArePreferred);
+  CPPUNIT_TEST(EachServiceHasItsOwnPositions);
+  CPPUNIT_TEST(OtherEnginesAreUsedIfNoPreferredIsUsable);
+  CPPUNIT_TEST(BurstOnHundredsOfEnginesFindsFreeSlots);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void SmallFleetKnowsAll()
+  void SmallFleetPrefersAllEngines()
   {
     const std::vector<std::string> hosts = Hosts(32);
-    const endpoint_registry board = Engines(69);
-    const subset_ring ring = Ring(hosts, board);
+    const endpoint_registry registry = Engines(69);
+    const subset_ring ring = Ring(hosts, registry);
     for (const std::string& host : hosts) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{ 69 },
-                           PreferredBy(ring, host, board).size());
+                           PreferredBy(ring, host, registry).size());
     }
-    // Few engines before many entries are known to all of these.
+    // With few engines and many gateways, each gateway prefers all engines.
     CPPUNIT_ASSERT_EQUAL(1.0, PreferredShare(350, 40));
   }
 
   void LoadIsSpreadEvenly()
   {
     const std::vector<std::string> hosts = Hosts(350);
-    const endpoint_registry board = Engines(1200);
-    const subset_ring ring = Ring(hosts, board);
-    for (const auto& [id, known] : board.mEndpoints) {
-      const double entries =
+    const endpoint_registry registry = Engines(1200);
+    const subset_ring ring = Ring(hosts, registry);
+    for (const auto& [id, known] : registry.mEndpoints) {
+      const double gateways =
         static_cast<double>(CountPreferring(ring, hosts, id));
-      CPPUNIT_ASSERT(std::abs(entries - kGatewaysPerEngine) <= 1);
+      CPPUNIT_ASSERT(std::abs(gateways - kGatewaysPerEngine) <= 1);
     }
     for (const std::string& host : hosts) {
       const double engines =
-        static_cast<double>(PreferredBy(ring, host, board).size());
+        static_cast<double>(PreferredBy(ring, host, registry).size());
       CPPUNIT_ASSERT(std::abs(engines - 1200 * kGatewaysPerEngine / 350) <= 1);
     }
   }
 
-  /// Symptom: for seconds after an entry came or went all entries place as if
-  /// most engines were idle. Cause: each was given other engines than before,
-  /// of which it had heard nothing.
-  void OneMoreMovesArcsByOnePlace()
+  /// Guards against subsets that change completely when a gateway joins or
+  /// leaves. For some seconds, each gateway then had no data on the load of its
+  /// new engines and placed as if most of them were idle.
+  void MembershipChangeMovesArcsByOnePosition()
   {
     std::vector<std::string> hosts = Hosts(103);
-    const endpoint_registry board = Engines(172);
-    const subset_ring before = Ring(hosts, board);
+    const endpoint_registry registry = Engines(172);
+    const subset_ring before = Ring(hosts, registry);
     const std::string gone = hosts[50];
     hosts.erase(hosts.begin() + 50);
-    const subset_ring after = Ring(hosts, board);
+    const subset_ring after = Ring(hosts, registry);
     const endpoint_registry oneMore = Engines(173);
     const subset_ring withOneMore = Ring(hosts, oneMore);
     for (const std::string& host : hosts) {
-      const std::vector<std::string> old = PreferredBy(before, host, board);
+      const std::vector<std::string> old = PreferredBy(before, host, registry);
       for (const std::vector<std::string>& now :
-           { PreferredBy(after, host, board),
+           { PreferredBy(after, host, registry),
              PreferredBy(withOneMore, host, oneMore) }) {
         std::vector<std::string> kept;
         std::set_intersection(old.begin(),
@@ -178,14 +180,14 @@
     }
   }
 
-  /// Symptom: after the loss of half of the entries some engines get nothing
-  /// while others are full. Sequence: half of the entries are killed at one
-  /// moment; the others hold them for present until their beats are missed.
-  void HalfOfTheEntriesReachEveryEngine()
+  /// Guards against engines that no running gateway prefers. When half of the
+  /// gateways are killed at once, the others still count them until they miss
+  /// their heartbeats; some engines got no requests while others were full.
+  void HalfOfTheGatewaysReachEveryEngine()
   {
     const std::vector<std::string> hosts = Hosts(350);
-    const endpoint_registry board = Engines(1200);
-    const subset_ring ring = Ring(hosts, board);
+    const endpoint_registry registry = Engines(1200);
+    const subset_ring ring = Ring(hosts, registry);
     random_engine random(7);
     for (int round = 0; round < 20; ++round) {
       std::vector<std::string> left;
@@ -194,32 +196,32 @@
                   std::back_inserter(left),
                   hosts.size() / 2,
                   random);
-      for (const auto& [id, known] : board.mEndpoints) {
+      for (const auto& [id, known] : registry.mEndpoints) {
         CPPUNIT_ASSERT(CountPreferring(ring, left, id) >= 2);
       }
     }
   }
 
-  void StrangersArePreferred()
+  void UnknownGatewaysAndEnginesArePreferred()
   {
-    const endpoint_registry board = Engines(172);
-    const subset_ring ring = Ring(Hosts(103), board);
+    const endpoint_registry registry = Engines(172);
+    const subset_ring ring = Ring(Hosts(103), registry);
     CPPUNIT_ASSERT(Prefers(ring, "10.9.9.9", EngineKey("engine-1")));
     CPPUNIT_ASSERT(Prefers(ring, Hosts(1).front(), EngineKey("unheard-of")));
     CPPUNIT_ASSERT(Prefers({}, "", 0));
   }
 
-  void EachServiceHasAnOrderOfItsOwn()
+  void EachServiceHasItsOwnPositions()
   {
-    endpoint_registry board = Engines(172);
+    endpoint_registry registry = Engines(172);
     for (int i = 0; i < 8; ++i) {
       endpoint listed;
       listed.mId = "other-" + std::to_string(i);
       listed.mService = "other-model";
-      (void)ApplyRow(board, { listed.mId, 1, listed });
+      (void)ApplyRow(registry, { listed.mId, 1, listed });
     }
     const std::vector<std::string> hosts = Hosts(103);
-    const subset_ring ring = Ring(hosts, board);
+    const subset_ring ring = Ring(hosts, registry);
     for (int i = 0; i < 8; ++i) {
       CPPUNIT_ASSERT_EQUAL(
         hosts.size(),
@@ -227,59 +229,59 @@
     }
   }
 
-  /// Symptom: a request is refused for want of an engine while hundreds are
-  /// idle. Cause: all engines that its entry prefers are leaving or were tried.
-  void OthersAreTakenWhenNoPreferredIsUsable()
+  /// Guards against refusing a request when all engines that its gateway
+  /// prefers are leaving or were tried, while hundreds of others are idle.
+  void OtherEnginesAreUsedIfNoPreferredIsUsable()
   {
-    endpoint_registry board = Engines(172);
+    endpoint_registry registry = Engines(172);
     const std::vector<std::string> hosts = Hosts(103);
-    MarkPreferred(board, Ring(hosts, board), hosts.front());
-    for (auto& [id, known] : board.mEndpoints) {
+    MarkPreferred(registry, Ring(hosts, registry), hosts.front());
+    for (auto& [id, known] : registry.mEndpoints) {
       known.mListed.mLeaving = known.mPreferred;
     }
-    const placement_request clip{ "model",
-                                  5000,
-                                  1900,
-                                  milliseconds(300),
-                                  milliseconds(400),
-                                  WorthOfPrompt(5000) };
+    const placement_request request{ "model",
+                                     5000,
+                                     1900,
+                                     milliseconds(300),
+                                     milliseconds(400),
+                                     WorthOfPrompt(5000) };
     const std::optional<engine_choice> choice =
-      PlaceOnEngines(board, {}, Timing(), clip, {}, "a", kStart);
+      PlaceOnEngines(registry, {}, Timing(), request, {}, "a", kStart);
     CPPUNIT_ASSERT(choice.has_value());
     CPPUNIT_ASSERT(!choice->mDecodeEngine->mListed.mLeaving);
   }
 
-  /// Symptom: in a burst of short prompts before 172 engines two of five first
-  /// events are late: engines are given more than they work on at once while
-  /// others have free slots. Sequence: 103 entries together take 620 short
-  /// prompts a second; what one places, another hears 6 ms later. Cause: all
-  /// placed on the same engines, those that suited best, in the milliseconds
-  /// before they heard of one another; or heard of an eighth of the others
-  /// only.
-  void BurstBeforeHundredsOfEnginesFindsFreeSlots()
+  /// Guards against gateways that assign the same slots in a burst. 103
+  /// gateways together place 620 short prompts per second on 172 engines and
+  /// receive each other's placements 6 ms later. They chose the same engines,
+  /// those with the lowest costs, until the placements of the others arrived;
+  /// or they received the placements of only an eighth of the others. Engines
+  /// were given more requests than they had slots while others had free ones,
+  /// and two of five first events were late.
+  void BurstOnHundredsOfEnginesFindsFreeSlots()
   {
-    constexpr std::size_t kEntries = 103;
+    constexpr std::size_t kGateways = 103;
     constexpr std::size_t kEngines = 172;
-    // Three of four slots are taken at the end.
+    // Three of four slots are in use at the end.
     constexpr std::size_t kPrompts = kEngines * kSlots * 3 / 4;
     constexpr duration kGap = std::chrono::microseconds(1613);
-    burst world(kEntries, kEngines);
+    burst_simulation simulation(kGateways, kEngines);
     random_engine random(11);
-    std::size_t waiting = 0;
+    std::size_t overloaded = 0;
     for (std::size_t i = 0; i < kPrompts; ++i) {
-      const std::size_t entry = Below(random, kEntries);
-      placement_request clip{ "model",
-                              5000,
-                              1900,
-                              milliseconds(300),
-                              milliseconds(400),
-                              WorthOfPrompt(5000) };
-      clip.mTieBreakSeed = Hash("entry", entry);
+      const std::size_t gateway = Below(random, kGateways);
+      placement_request request{ "model",
+                                 5000,
+                                 1900,
+                                 milliseconds(300),
+                                 milliseconds(400),
+                                 WorthOfPrompt(5000) };
+      request.mTieBreakSeed = Hash("entry", gateway);
       const time_point now = kStart + static_cast<int>(i) * kGap;
-      waiting += world.Place(entry, now, clip) ? 0 : 1;
+      overloaded += simulation.Place(gateway, now, request) ? 0 : 1;
     }
-    // At the size to design for 95 in 100 are to begin in time.
-    CPPUNIT_ASSERT(waiting * 20 <= kPrompts);
+    // At this fleet size, 95 of 100 requests have to start in time.
+    CPPUNIT_ASSERT(overloaded * 20 <= kPrompts);
   }
 };
 
