--- a/Libraries/LibFleet/Endpoints.cpp
+++ b/Libraries/LibFleet/Endpoints.cpp
@@ -191,7 +191,7 @@
 }
 
 bool
-Usable(const known_endpoint& aEndpoint, std::string_view aService)
+IsUsable(const known_endpoint& aEndpoint, std::string_view aService)
 {
   return !aEndpoint.mListed.mLeaving && aEndpoint.mListed.mService == aService;
 }
@@ -201,7 +201,7 @@
            std::string_view aService,
            time_point aNow)
 {
-  return Usable(aEndpoint, aService) && Admits(aEndpoint.mLimit, aNow);
+  return IsUsable(aEndpoint, aService) && Admits(aEndpoint.mLimit, aNow);
 }
 
 std::optional<duration>
@@ -212,7 +212,7 @@
 {
   std::optional<duration> soonest;
   for (const auto& [id, known] : aRegistry.mEndpoints) {
-    if (Usable(known, aService) &&
+    if (IsUsable(known, aService) &&
         std::find(aTried.begin(), aTried.end(), id) == aTried.end()) {
       soonest = std::min(soonest.value_or(duration::max()),
                          TimeUntilAdmitted(known.mLimit, aNow));
--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -125,7 +125,7 @@
 
 /// True if the endpoint may be given new work of this service.
 bool
-Usable(const known_endpoint& aEndpoint, std::string_view aService);
+IsUsable(const known_endpoint& aEndpoint, std::string_view aService);
 
 /// True if the endpoint is usable and its limit admits a request by this
 /// gateway.
--- a/Libraries/LibFleet/EngineLedger.h
+++ b/Libraries/LibFleet/EngineLedger.h
@@ -61,8 +61,9 @@
   double mBacklogMs = 0; ///< Remaining prefill time as of `mBacklogAt`.
   time_point mBacklogAt{};
   double mTokens = 0; ///< Memory used by the placements on this engine.
-  std::vector<placement_key> mDecoding;   ///< Placements that decode here.
-  std::vector<placement_key> mPrefilling; ///< Or have done so recently.
+  std::vector<placement_key> mDecoding; ///< Placements that decode here.
+  /// Placements that prefill here or have done so recently.
+  std::vector<placement_key> mPrefilling;
   /// Number of requests that the engine reported at `mReportedAt`.
   std::size_t mReportedRequestCount = 0;
   time_point mReportedAt{};
--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -165,11 +165,11 @@
                   const placement_request& aRequest,
                   std::string_view aDataCentre,
                   time_point aNow,
-                  duration aLongest)
+                  duration aMaximum)
 {
   // Each step takes as much CPU time as a placement. Finer steps would add
   // little accuracy, since other requests arrive meanwhile.
-  for (duration after = kMinRetryAfter; after < aLongest; after *= 2) {
+  for (duration after = kMinRetryAfter; after < aMaximum; after *= 2) {
     const std::optional<engine_choice> choice = PlaceOnEngines(
       aRegistry, aLedger, aTiming, aRequest, {}, aDataCentre, aNow + after);
     if (choice.has_value() && (choice->mVerdict == placement_verdict::Send ||
@@ -177,7 +177,7 @@
       return after;
     }
   }
-  return std::max(kMinRetryAfter, aLongest);
+  return std::max(kMinRetryAfter, aMaximum);
 }
 
 } // namespace primrose
--- a/Libraries/LibFleet/EnginePlacement.h
+++ b/Libraries/LibFleet/EnginePlacement.h
@@ -114,7 +114,8 @@
             placement_key aKey);
 
 /// Estimates the time after which a prompt that is refused now would be
-/// accepted if no other requests arrived; `aLongest` if that is later.
+/// accepted if no other requests arrived; at most `aMaximum`, but not less than
+/// `kMinRetryAfter`.
 duration
 TimeUntilAccepted(endpoint_registry& aRegistry,
                   const engine_ledger& aLedger,
@@ -122,6 +123,6 @@
                   const placement_request& aRequest,
                   std::string_view aDataCentre,
                   time_point aNow,
-                  duration aLongest);
+                  duration aMaximum);
 
 } // namespace primrose
--- a/Libraries/LibFleet/PlacementCandidates.cpp
+++ b/Libraries/LibFleet/PlacementCandidates.cpp
@@ -110,7 +110,7 @@
     one.mInOtherDataCentre = known.mListed.mDataCentre != aDataCentre;
     candidates.push_back(std::move(one));
   }
-  // Avoided engines are left out if at least half of the engines remain.
+  // Engines that are avoided are left out if at least half of all remain.
   const std::size_t healthy = static_cast<std::size_t>(std::count_if(
     candidates.begin(), candidates.end(), [](const engine_candidate& aOne) {
       return !aOne.mAvoided;
--- a/Libraries/LibFleet/PlacementCandidates.h
+++ b/Libraries/LibFleet/PlacementCandidates.h
@@ -43,8 +43,8 @@
   bool mInOtherDataCentre = false;
 };
 
-/// The engines that may be chosen for the request. Avoided engines are left out
-/// if at least half of the engines are not avoided.
+/// The engines that may be chosen for the request. Engines that are
+/// avoided are left out if at least half of all are not avoided.
 std::vector<engine_candidate>
 EngineCandidates(endpoint_registry& aRegistry,
                  const engine_ledger& aLedger,
--- a/Tests/Unit/PlacementTest.cpp
+++ b/Tests/Unit/PlacementTest.cpp
@@ -741,9 +741,9 @@
     }
     const placement_request request = LongRequest(300000);
     CPPUNIT_ASSERT(f.Choose(request).mVerdict == placement_verdict::TurnAway);
-    const auto until = [&f, &request](duration aLongest) {
+    const auto until = [&f, &request](duration aMaximum) {
       return TimeUntilAccepted(
-        f.mRegistry, f.mLedger, SampleEngine(), request, "a", kStart, aLongest);
+        f.mRegistry, f.mLedger, SampleEngine(), request, "a", kStart, aMaximum);
     };
     const duration accepted = until(std::chrono::seconds(20));
     CPPUNIT_ASSERT(accepted > milliseconds(250));
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -58,7 +58,7 @@
     simulated_gateway& gateway = mGateways[aGateway];
     const engine_choice choice = *PlaceOnEngines(
       gateway.mRegistry, gateway.mLedger, Timing(), aRequest, {}, "a", aNow);
-    placement placed = PlacementOf(choice, aRequest, ++mLast);
+    placement placed = PlacementOf(choice, aRequest, ++mLastKey);
     placed.mBegan = aNow;
     placed.mExpires = kStart + std::chrono::hours(1);
     AddPlacement(gateway.mLedger, placed, aNow);
@@ -102,7 +102,7 @@
   std::vector<simulated_gateway> mGateways;
   std::deque<message> mMessages;
   std::map<engine_key, std::size_t> mRequestsOnEngine;
-  placement_key mLast = 0;
+  placement_key mLastKey = 0;
 };
 
 } // namespace
