--- a/Libraries/LibFleet/Endpoints.cpp
+++ b/Libraries/LibFleet/Endpoints.cpp
@@ -197,9 +197,9 @@
 }
 
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow)
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow)
 {
   return IsUsable(aEndpoint, aService) && Admits(aEndpoint.mLimit, aNow);
 }
@@ -222,7 +222,7 @@
 }
 
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow)
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow)
 {
   return aEndpoint.mHealth.mAvoidUntil > aNow;
 }
@@ -250,12 +250,12 @@
   known_endpoint* best = nullptr;
   rank bestRank;
   for (auto& [id, known] : aRegistry.mEndpoints) {
-    if (!Admissible(known, aService, aNow) ||
+    if (!IsAdmissible(known, aService, aNow) ||
         std::find(aTried.begin(), aTried.end(), id) != aTried.end()) {
       continue;
     }
     const rank candidate{
-      Avoided(known, aNow),
+      IsAvoided(known, aNow),
       known.mOutstanding,
       known.mListed.mDataCentre != aDataCentre,
       Hash(id, static_cast<std::uint64_t>(aRandom * kRandomSteps))
--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -130,9 +130,9 @@
 /// True if the endpoint is usable and its limit admits a request by this
 /// gateway.
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow);
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow);
 
 /// Time until the limit of a usable endpoint of the service, other than those
 /// in `aTried`, admits a request; nullopt if there is no such endpoint.
@@ -145,7 +145,7 @@
 /// True if the endpoint is to be avoided, because of recent failures, while
 /// there are others.
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow);
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow);
 
 /// Chooses the endpoint of a plain service with the fewest outstanding attempts
 /// of this gateway, except those in `aTried`. Ties are broken in favour of the
--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -134,9 +134,9 @@
 }
 
 placement
-PlacementOf(const engine_choice& aChoice,
-            const placement_request& aRequest,
-            placement_key aKey)
+MakePlacement(const engine_choice& aChoice,
+              const placement_request& aRequest,
+              placement_key aKey)
 {
   placement placed;
   placed.mKey = aKey;
--- a/Libraries/LibFleet/EnginePlacement.h
+++ b/Libraries/LibFleet/EnginePlacement.h
@@ -109,9 +109,9 @@
 /// The ledger entry for a choice that is carried out. The caller has to set
 /// `mOwner`, `mBegan` and `mExpires`.
 placement
-PlacementOf(const engine_choice& aChoice,
-            const placement_request& aRequest,
-            placement_key aKey);
+MakePlacement(const engine_choice& aChoice,
+              const placement_request& aRequest,
+              placement_key aKey);
 
 /// Estimates the time after which a prompt that is refused now would be
 /// accepted if no other requests arrived; at most `aMaximum`, but not less than
--- a/Libraries/LibFleet/PlacementCandidates.cpp
+++ b/Libraries/LibFleet/PlacementCandidates.cpp
@@ -79,7 +79,7 @@
   static const engine_load kIdle{};
   const auto usable = [&aRequest, &aTried, aNow](const std::string& aId,
                                                  const known_endpoint& aKnown) {
-    return Admissible(aKnown, aRequest.mService, aNow) &&
+    return IsAdmissible(aKnown, aRequest.mService, aNow) &&
            std::find(aTried.begin(), aTried.end(), aId) == aTried.end();
   };
   const bool anyPreferred = std::any_of(
@@ -106,7 +106,7 @@
     one.mDecodePassMs = DecodePassMs(aTiming,
                                      static_cast<double>(one.mRequests + 1),
                                      load.mTokens + aRequest.mPromptTokens);
-    one.mAvoided = Avoided(known, aNow);
+    one.mAvoided = IsAvoided(known, aNow);
     one.mInOtherDataCentre = known.mListed.mDataCentre != aDataCentre;
     candidates.push_back(std::move(one));
   }
--- a/Tests/Unit/PlacementTest.cpp
+++ b/Tests/Unit/PlacementTest.cpp
@@ -66,7 +66,7 @@
                       std::optional<time_point> aBegan = std::nullopt)
   {
     const engine_choice choice = Choose(aRequest, aNow);
-    placement placed = PlacementOf(choice, aRequest, ++mLastKey);
+    placement placed = MakePlacement(choice, aRequest, ++mLastKey);
     placed.mOwner = 1;
     placed.mBegan = aBegan.value_or(aNow);
     placed.mExpires = kStart + std::chrono::hours(1);
@@ -279,7 +279,7 @@
   {
     constexpr double kTokensPerPass = 80;
     constexpr double kPassMs = 75;
-    placement placed = PlacementOf(aChoice, aRequest, ++mLastKey);
+    placement placed = MakePlacement(aChoice, aRequest, ++mLastKey);
     placed.mOwner = 1;
     placed.mBegan = mNow;
     placed.mExpires = mNow + std::chrono::seconds(30);
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -58,7 +58,7 @@
     simulated_gateway& gateway = mGateways[aGateway];
     const engine_choice choice = *PlaceOnEngines(
       gateway.mRegistry, gateway.mLedger, Timing(), aRequest, {}, "a", aNow);
-    placement placed = PlacementOf(choice, aRequest, ++mLastKey);
+    placement placed = MakePlacement(choice, aRequest, ++mLastKey);
     placed.mBegan = aNow;
     placed.mExpires = kStart + std::chrono::hours(1);
     AddPlacement(gateway.mLedger, placed, aNow);
