--- a/Libraries/LibFleet/LibFleet.h
+++ b/Libraries/LibFleet/LibFleet.h
@@ -6,7 +6,6 @@
 /// request, and the limits on retries. Does no I/O, reads no clock and starts
 /// no threads.
 
-#include "LibFleet/Budget.h"
 #include "LibFleet/EndpointLimits.h"
 #include "LibFleet/Endpoints.h"
 #include "LibFleet/EngineLedger.h"
@@ -14,8 +13,9 @@
 #include "LibFleet/EngineSubset.h"
 #include "LibFleet/EngineTiming.h"
 #include "LibFleet/Manifest.h"
-#include "LibFleet/NewsBudget.h"
+#include "LibFleet/PeerSendBudget.h"
 #include "LibFleet/Quarantine.h"
 #include "LibFleet/RequestDigest.h"
-#include "LibFleet/Silence.h"
-#include "LibFleet/StorePatience.h"
+#include "LibFleet/RetryBudget.h"
+#include "LibFleet/StorePolling.h"
+#include "LibFleet/StreamTimeouts.h"
