--- a/Libraries/LibFleet/EngineSubset.h
+++ b/Libraries/LibFleet/EngineSubset.h
@@ -41,7 +41,7 @@
 /// and that differences in load between gateways even out. It is small enough
 /// that a placement is always sent to all of them within the bandwidth that
 /// operators allow.
-inline constexpr double kGatewaysPerEngine = kAlwaysTold;
+inline constexpr double kGatewaysPerEngine = kFullBroadcastPeers;
 /// Minimum number of engines that each gateway prefers: over twice the 17 that
 /// the longest prompts are divided over, so that there is a choice of engines.
 inline constexpr double kEnginesPerGateway = 40;
--- a/Libraries/LibFleet/StreamTimeouts.h
+++ b/Libraries/LibFleet/StreamTimeouts.h
@@ -11,12 +11,12 @@
 
 /// Until the first event of a prompt that is expected after `aExpectedMs`.
 duration
-FirstEventPatience(const placement_request& aWork,
-                   double aExpectedMs,
-                   bool aDivided);
+FirstEventTimeout(const placement_request& aWork,
+                  double aExpectedMs,
+                  bool aDivided);
 
 /// Between two events of a stream that may pause for so long.
 duration
-PausePatience(duration aAllowedPause);
+StallTimeout(duration aAllowedPause);
 
 } // namespace primrose
--- a/Tests/Unit/PlacementTest.cpp
+++ b/Tests/Unit/PlacementTest.cpp
@@ -777,18 +777,18 @@
     const placement_request shortRequest = ShortRequest();
     for (const double expectedMs : { 100.0, 700.0, 1500.0, 9000.0 }) {
       const duration timeout =
-        FirstEventPatience(shortRequest, expectedMs, false);
+        FirstEventTimeout(shortRequest, expectedMs, false);
       CPPUNIT_ASSERT(timeout >= milliseconds(600));
       CPPUNIT_ASSERT(timeout + shortRequest.mObjective * 2 <=
                      std::chrono::seconds(2));
     }
-    CPPUNIT_ASSERT(FirstEventPatience(shortRequest, 100, false) ==
+    CPPUNIT_ASSERT(FirstEventTimeout(shortRequest, 100, false) ==
                    milliseconds(750));
     // Repeating the prefill of a divided prompt would cost as much again.
-    CPPUNIT_ASSERT(FirstEventPatience(LongRequest(200000), 1500, true) ==
+    CPPUNIT_ASSERT(FirstEventTimeout(LongRequest(200000), 1500, true) ==
                    std::chrono::seconds(6));
-    CPPUNIT_ASSERT(PausePatience(milliseconds(250)) == milliseconds(625));
-    CPPUNIT_ASSERT(PausePatience(milliseconds(100)) == milliseconds(600));
+    CPPUNIT_ASSERT(StallTimeout(milliseconds(250)) == milliseconds(625));
+    CPPUNIT_ASSERT(StallTimeout(milliseconds(100)) == milliseconds(600));
   }
 
   void LeavingEngineGetsNoRequests()
