--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -3,7 +3,7 @@
 /// Registers this gateway in the platform's table of gateways and reads the
 /// others from it once. Later changes of membership arrive by gossip.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -3,7 +3,7 @@
 /// Sends this gateway's gossip datagrams: updates are batched for some
 /// milliseconds and sent to the peers that they concern.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 #include "LibGateway/PeerMessage.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/LimitUpdates.h
+++ b/Libraries/LibGateway/LimitUpdates.h
@@ -2,7 +2,7 @@
 
 /// Updates the rate limits of endpoints in the gateway's shared state.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 #include "LibGateway/PeerMessage.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -9,7 +9,7 @@
 /// removed together, so the result does not depend on the order of writes whose
 /// answers were lost.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/ReachabilityCheck.h
+++ b/Libraries/LibGateway/ReachabilityCheck.h
@@ -3,7 +3,7 @@
 /// Checks whether an endpoint still accepts connections, without sending it a
 /// request.
 
-#include "LibGateway/EndpointConnections.h"
+#include "LibGateway/EndpointConnectionPool.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -4,7 +4,7 @@
 /// changes. After a failed call, or if the store has lost the history since the
 /// last revision, it reads the whole table again.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
