--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -69,8 +69,8 @@
   std::uint64_t mRevision = 0;
   endpoint_health mHealth;
   endpoint_limit mLimit;
-  unsigned mOutstanding = 0; ///< This gateway's own attempts in flight.
-  time_point mHeard{};       ///< When one of them last received data.
+  unsigned mOutstanding = 0;    ///< This gateway's own attempts in flight.
+  time_point mLastReceivedAt{}; ///< When one of them last received data.
   /// False if the endpoint is outside this gateway's subset
   /// (LibFleet/EngineSubset). It is then used only while no preferred endpoint
   /// can be.
--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -52,7 +52,7 @@
 /// the gateways that it has in its membership. Used for work that one gateway
 /// should do for all.
 bool
-IsResponsibleGateway(const gateway_board& aBoard,
+IsResponsibleGateway(const gateway_state& aBoard,
                      const std::string& aOwnHost,
                      request_digest aRequest)
 {
@@ -109,8 +109,8 @@
 crash_detector::crash_detector(event_loop& aLoop,
                                const gateway_settings& aSettings,
                                const gateway_adapter& aAdapter,
-                               gateway_board& aBoard,
-                               endpoint_connections& aConnections,
+                               gateway_state& aBoard,
+                               endpoint_connection_pool& aConnections,
                                gossip_sender& aSender)
   : mLoop(aLoop)
   , mSettings(aSettings)
--- a/Libraries/LibGateway/GatewayRegistry.cpp
+++ b/Libraries/LibGateway/GatewayRegistry.cpp
@@ -19,7 +19,7 @@
 gateway_registry::gateway_registry(event_loop& aLoop,
                                    const gateway_settings& aSettings,
                                    const gateway_adapter& aAdapter,
-                                   gateway_board& aBoard,
+                                   gateway_state& aBoard,
                                    loaded_callback aOnLoaded)
   : mLoop(aLoop)
   , mSettings(aSettings)
@@ -33,8 +33,9 @@
 void
 gateway_registry::Register()
 {
-  mCaller.Call(mAdapter.mWriteRow(
-                 mAdapter.mEntryTable, mSettings.mPeers.mHost, mSettings.mName),
+  mCaller.Call(mAdapter.mWriteRow(mAdapter.mGatewayTable,
+                                  mSettings.mPeers.mHost,
+                                  mSettings.mName),
                kTimeout,
                [this](const http_answer& aAnswer) {
                  if (aAnswer.mStatus == kStatusOk) {
@@ -48,12 +49,13 @@
 void
 gateway_registry::LoadRows(const std::string& aFromKey)
 {
-  mCaller.Call(mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
+  mCaller.Call(mAdapter.mReadTable(mAdapter.mGatewayTable, aFromKey),
                kTimeout,
                [this, aFromKey](const http_answer& aAnswer) {
-                 const table_reading reading = mAdapter.mDecodeTable(aAnswer);
+                 const table_read_result reading =
+                   mAdapter.mDecodeTable(aAnswer);
                  CountStoreCall(mBoard.mMetrics, reading.mOutcome);
-                 if (reading.mOutcome != table_reading::outcome::Good) {
+                 if (reading.mOutcome != table_read_result::outcome::Good) {
                    (void)mLoop.After(
                      kRetryDelay, [this, aFromKey]() { LoadRows(aFromKey); });
                    return;
@@ -65,8 +67,8 @@
                    LoadRows(NextPageKey(reading));
                    return;
                  }
-                 mBoard.mEntriesListed = mHosts.size();
-                 mBoard.mEntriesKnown = true;
+                 mBoard.mListedGatewayCount = mHosts.size();
+                 mBoard.mGatewaysLoaded = true;
                  mOnLoaded(mHosts);
                });
 }
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -17,7 +17,7 @@
   gateway_registry(event_loop& aLoop,
                    const gateway_settings& aSettings,
                    const gateway_adapter& aAdapter,
-                   gateway_board& aBoard,
+                   gateway_state& aBoard,
                    loaded_callback aOnLoaded);
   gateway_registry(const gateway_registry&) = delete;
   gateway_registry& operator=(const gateway_registry&) = delete;
@@ -33,7 +33,7 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   loaded_callback mOnLoaded;
   std::vector<std::string> mHosts;
   http_caller mCaller;
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -38,7 +38,7 @@
 
 gossip_sender::gossip_sender(event_loop& aLoop,
                              const gateway_settings& aSettings,
-                             gateway_board& aBoard)
+                             gateway_state& aBoard)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
@@ -148,7 +148,8 @@
       begin, begin + static_cast<std::ptrdiff_t>(count)
     };
     const std::string bytes = EncodePeerMessage(message, mLoop.Now());
-    CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, bytes.size());
+    CountPeerBytes(
+      mBoard.mMetrics, peer_traffic::CrashReportsSent, bytes.size());
     Send(bytes, aHost);
   }
 }
@@ -188,7 +189,7 @@
   // Broadcasts are never cut, so their bytes are charged to the budget of
   // placements, which then go to fewer peers for a while.
   ChargePeerBytes(mBudget, sent, mLoop.Now());
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashReportsSent, sent);
 }
 
 void
@@ -226,9 +227,9 @@
 gossip_sender::NewMessage() const
 {
   peer_message message;
-  message.mBoot = mBoard.mBoot;
+  message.mGatewayIncarnation = mBoard.mGatewayIncarnation;
   message.mLeaving = mLeaving;
-  message.mManifest = ManifestHeld(mBoard);
+  message.mManifest = CurrentManifestVersion(mBoard);
   message.mList = mBoard.mEndpoints.mNewestRevision;
   return message;
 }
@@ -243,7 +244,7 @@
   }
   const std::size_t hosts =
     std::min(kMaxHostsPerDatagram, mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator peer =
+  std::map<std::string, peer_state>::const_iterator peer =
     mBoard.mPeers.begin();
   std::advance(peer,
                static_cast<std::ptrdiff_t>(
@@ -265,7 +266,7 @@
   peer_message message = NewMessage();
   message.mUpdates = std::exchange(mBatch, {});
   const std::vector<std::string> recipients = HostsThatPrefer(
-    mBoard.mRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
+    mBoard.mSubsetRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
   const std::string bytes = EncodePeerMessage(message, mLoop.Now());
   for (const std::string& host : ChooseRecipients(recipients, bytes.size())) {
     Send(bytes, host);
@@ -286,7 +287,7 @@
     TakeRecipientCount(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
     "gateway_news_total", "told", chosen == aHosts.size() ? "all" : "some"));
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, chosen * aBytes);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::UpdatesSent, chosen * aBytes);
   if (chosen == aHosts.size()) {
     return aHosts;
   }
@@ -313,7 +314,7 @@
   const std::string bytes =
     EncodeHeartbeat(mHeartbeats++ % kHeartbeatsPerHostList == 0);
   const std::size_t chosen = PeersPerHeartbeat(mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator next =
+  std::map<std::string, peer_state>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastHeartbeatHost);
   for (std::size_t i = 0; i < chosen; ++i, ++next) {
     if (next == mBoard.mPeers.end()) {
@@ -323,7 +324,7 @@
     Send(bytes, next->first);
   }
   CountPeerBytes(
-    mBoard.mMetrics, peer_traffic::BeatsSent, chosen * bytes.size());
+    mBoard.mMetrics, peer_traffic::HeartbeatsSent, chosen * bytes.size());
 }
 
 void
@@ -335,7 +336,7 @@
   message.mUpdates.mLimits = KnownLimits(mBoard);
   std::vector<placement>& ownPlacements = message.mUpdates.mNewPlacements;
   for (const auto& [key, placed] : mBoard.mLedger.mPlacements) {
-    if (placed.mOwner != mBoard.mBoot) {
+    if (placed.mOwner != mBoard.mGatewayIncarnation) {
       continue;
     }
     ownPlacements.push_back(placed);
--- a/Libraries/LibGateway/PeerGossip.h
+++ b/Libraries/LibGateway/PeerGossip.h
@@ -24,7 +24,7 @@
 
   peer_gossip(event_loop& aLoop,
               const gateway_settings& aSettings,
-              gateway_board& aBoard,
+              gateway_state& aBoard,
               gossip_sender& aSender,
               crash_detector& aCrashDetector,
               const stale_callback& aOnStale);
@@ -62,7 +62,7 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   gossip_sender& mSender;
   crash_detector& mCrashDetector;
   std::unique_ptr<datagram_socket> mSocket;
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -244,18 +244,19 @@
 ReadMessage(wire::PeerNews::Reader aEncoded, time_point aNow)
 {
   peer_message message;
-  message.mBoot = aEncoded.getBoot();
+  message.mGatewayIncarnation = aEncoded.getBoot();
   message.mLeaving = aEncoded.getLeaving();
   message.mManifest = aEncoded.getManifest();
   message.mList = aEncoded.getList();
   message.mQuarantineHash = aEncoded.getHeldState();
   for (const wire::PlacedWork::Reader work : aEncoded.getPlaced()) {
     message.mUpdates.mNewPlacements.push_back(
-      ReadPlacement(work, message.mBoot, aNow));
+      ReadPlacement(work, message.mGatewayIncarnation, aNow));
   }
-  message.mUpdates.mEndedPlacements = Keys(message.mBoot, aEncoded.getEnded());
+  message.mUpdates.mEndedPlacements =
+    Keys(message.mGatewayIncarnation, aEncoded.getEnded());
   message.mUpdates.mEndedBeforePrefill =
-    Keys(message.mBoot, aEncoded.getUnread());
+    Keys(message.mGatewayIncarnation, aEncoded.getUnread());
   message.mUpdates.mHelpRefused = ReadNumbers(aEncoded.getUnwilling());
   message.mUpdates.mFailedEndpoints = ReadNumbers(aEncoded.getTroubled());
   ReadLimits(aEncoded, message.mUpdates, aNow);
@@ -273,7 +274,7 @@
 {
   capnp::MallocMessageBuilder builder;
   wire::PeerNews::Builder encoded = builder.initRoot<wire::PeerNews>();
-  encoded.setBoot(aMessage.mBoot);
+  encoded.setBoot(aMessage.mGatewayIncarnation);
   encoded.setLeaving(aMessage.mLeaving);
   encoded.setManifest(aMessage.mManifest);
   encoded.setList(aMessage.mList);
--- a/Libraries/LibGateway/PeerMessage.h
+++ b/Libraries/LibGateway/PeerMessage.h
@@ -39,7 +39,7 @@
 
 struct peer_message
 {
-  std::uint64_t mBoot = 0; ///< The sender's incarnation number.
+  std::uint64_t mGatewayIncarnation = 0; ///< The sender's incarnation number.
   bool mLeaving = false;
   std::uint64_t mManifest = 0;       ///< Version that the sender has applied.
   std::uint64_t mList = 0;           ///< Newest revision of its endpoint list.
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -56,7 +56,7 @@
 quarantine_table::quarantine_table(event_loop& aLoop,
                                    const gateway_settings& aSettings,
                                    const gateway_adapter& aAdapter,
-                                   gateway_board& aBoard)
+                                   gateway_state& aBoard)
   : mLoop(aLoop)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
@@ -74,36 +74,36 @@
 void
 quarantine_table::LoadRowsFrom(const std::string& aKey)
 {
-  mCaller.Call(mAdapter.mReadTable(mAdapter.mQuarantineTable, aKey),
-               kTimeout,
-               [this, aKey](const http_answer& aAnswer) {
-                 const table_reading reading = mAdapter.mDecodeTable(aAnswer);
-                 CountStoreCall(mBoard.mMetrics, reading.mOutcome);
-                 if (reading.mOutcome != table_reading::outcome::Good) {
-                   mNextKeyToLoad = aKey;
-                   RetryLater();
-                   return;
-                 }
-                 for (const row_change<std::string>& row : reading.mRows) {
-                   const std::optional<quarantined_request> parsed =
-                     ParseQuarantineRowKey(row.mKey);
-                   if (parsed.has_value()) {
-                     quarantined_request& held = mLoaded[parsed->mRequest];
-                     held.mRequest = parsed->mRequest;
-                     held.mTrials = std::max(held.mTrials, parsed->mTrials);
-                   }
-                 }
-                 if (HasMoreRows(reading)) {
-                   LoadRowsFrom(NextPageKey(reading));
-                   return;
-                 }
-                 std::vector<quarantined_request> all;
-                 for (const auto& [request, held] :
-                      std::exchange(mLoaded, {})) {
-                   all.push_back(held);
-                 }
-                 mOnLoaded(all);
-               });
+  mCaller.Call(
+    mAdapter.mReadTable(mAdapter.mQuarantineTable, aKey),
+    kTimeout,
+    [this, aKey](const http_answer& aAnswer) {
+      const table_read_result reading = mAdapter.mDecodeTable(aAnswer);
+      CountStoreCall(mBoard.mMetrics, reading.mOutcome);
+      if (reading.mOutcome != table_read_result::outcome::Good) {
+        mNextKeyToLoad = aKey;
+        RetryLater();
+        return;
+      }
+      for (const row_change<std::string>& row : reading.mRows) {
+        const std::optional<quarantined_request> parsed =
+          ParseQuarantineRowKey(row.mKey);
+        if (parsed.has_value()) {
+          quarantined_request& held = mLoaded[parsed->mRequest];
+          held.mRequest = parsed->mRequest;
+          held.mTrials = std::max(held.mTrials, parsed->mTrials);
+        }
+      }
+      if (HasMoreRows(reading)) {
+        LoadRowsFrom(NextPageKey(reading));
+        return;
+      }
+      std::vector<quarantined_request> all;
+      for (const auto& [request, held] : std::exchange(mLoaded, {})) {
+        all.push_back(held);
+      }
+      mOnLoaded(all);
+    });
 }
 
 void
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -3,7 +3,7 @@
 namespace primrose {
 
 staleness_detector::staleness_detector(event_loop& aLoop,
-                                       gateway_board& aBoard,
+                                       gateway_state& aBoard,
                                        std::string aName,
                                        local_version aLocalVersion,
                                        stale_callback aOnStale)
@@ -35,7 +35,7 @@
     RecordCaughtUp();
     return;
   }
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   since = since.value_or(mLoop.Now());
   if (mTimer == 0) {
     ScheduleCheck();
@@ -68,7 +68,7 @@
 void
 staleness_detector::RecordCaughtUp()
 {
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   // A peer receiving a change slightly earlier is normal and not logged.
   if (since.has_value() && mLoop.Now() - *since > CatchUpTimeout(0)) {
     Log(log_level::Warning,
--- a/Libraries/LibGateway/StalenessDetector.h
+++ b/Libraries/LibGateway/StalenessDetector.h
@@ -19,7 +19,7 @@
 
   /// `aName` is used in logs and metrics.
   staleness_detector(event_loop& aLoop,
-                     gateway_board& aBoard,
+                     gateway_state& aBoard,
                      std::string aName,
                      local_version aLocalVersion,
                      stale_callback aOnStale);
@@ -36,7 +36,7 @@
   void RecordCaughtUp();
 
   event_loop& mLoop;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   std::string mName;
   local_version mLocalVersion;
   stale_callback mOnStale;
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -25,7 +25,7 @@
 /// Bytes of row versions that a later version in the same answer
 /// supersedes.
 std::size_t
-SupersededBytes(const table_reading& aReading)
+SupersededBytes(const table_read_result& aReading)
 {
   std::set<std::string_view> newerKeys;
   std::size_t bytes = 0;
@@ -41,20 +41,20 @@
 } // namespace
 
 bool
-HasMoreRows(const table_reading& aReading)
+HasMoreRows(const table_read_result& aReading)
 {
   return aReading.mTruncated && !aReading.mRows.empty();
 }
 
 std::string
-NextPageKey(const table_reading& aReading)
+NextPageKey(const table_read_result& aReading)
 {
   return aReading.mRows.back().mKey + '\x01';
 }
 
 table_follower::table_follower(event_loop& aLoop,
                                const gateway_adapter& aAdapter,
-                               gateway_board& aBoard,
+                               gateway_state& aBoard,
                                const ip_address& aStore,
                                std::string aTable,
                                duration aBatchDelay,
@@ -111,7 +111,7 @@
     // A network path that drops packets gives no error. The abandoned call has
     // to count as a failure, or else the store would never count as lost
     // here and no snapshot would be fetched from a peer.
-    RecordFailure(table_reading{});
+    RecordFailure(table_read_result{});
   }
   mCaller.Abandon();
   mLoop.Cancel(mTimer);
@@ -132,7 +132,7 @@
 table_follower::ReadTableFrom(const std::string& aFromKey)
 {
   if (aFromKey.empty()) {
-    mAccumulated = table_reading{};
+    mAccumulated = table_read_result{};
   }
   mCaller.Call(
     mAdapter.mReadTable(mTable, aFromKey),
@@ -140,10 +140,10 @@
     [this](const http_answer& aAnswer) { OnTablePage(DecodeAnswer(aAnswer)); });
 }
 
-table_reading
+table_read_result
 table_follower::DecodeAnswer(const http_answer& aAnswer)
 {
-  table_reading reading = mAdapter.mDecodeTable(aAnswer);
+  table_read_result reading = mAdapter.mDecodeTable(aAnswer);
   mBoard.mMetrics.Count(
     Labelled("gateway_store_read_bytes_total", "table", mTable),
     static_cast<double>(aAnswer.mBody.size()));
@@ -161,9 +161,9 @@
 }
 
 void
-table_follower::OnTablePage(table_reading aReading)
+table_follower::OnTablePage(table_read_result aReading)
 {
-  if (aReading.mOutcome != table_reading::outcome::Good) {
+  if (aReading.mOutcome != table_read_result::outcome::Good) {
     RetryAfterFailure(aReading);
     return;
   }
@@ -184,7 +184,7 @@
   mMayHaveMissedChanges = false;
   mJitterNextPoll = true;
   mListener.mOnTable(mAccumulated);
-  mAccumulated = table_reading{};
+  mAccumulated = table_read_result{};
   ReadChanges();
 }
 
@@ -202,9 +202,9 @@
 }
 
 void
-table_follower::OnChanges(const table_reading& aReading)
+table_follower::OnChanges(const table_read_result& aReading)
 {
-  if (aReading.mOutcome != table_reading::outcome::Good) {
+  if (aReading.mOutcome != table_read_result::outcome::Good) {
     RetryAfterFailure(aReading);
     return;
   }
@@ -241,17 +241,17 @@
         { "away_ms", mFailing ? Milliseconds(mLoop.Now() - mFailingSince) : 0 },
         { "failures", mFailures } });
   }
-  mBoard.mStoreReached[mTable] = mLoop.Now();
-  CountStoreCall(mBoard.mMetrics, table_reading::outcome::Good);
+  mBoard.mStoreAnsweredAt[mTable] = mLoop.Now();
+  CountStoreCall(mBoard.mMetrics, table_read_result::outcome::Good);
   mReached = true;
   mFailing = false;
 }
 
 void
-table_follower::RecordFailure(const table_reading& aReading)
+table_follower::RecordFailure(const table_read_result& aReading)
 {
   const bool historyLost =
-    aReading.mOutcome == table_reading::outcome::HistoryLost;
+    aReading.mOutcome == table_read_result::outcome::HistoryLost;
   if (historyLost) {
     Log(log_level::Warning,
         "store_history_lost",
@@ -259,14 +259,14 @@
   } else if (!mFailing) {
     mFailing = true;
     mFailingSince = mLoop.Now();
-    Log(
-      log_level::Warning,
-      "store_lost",
-      { { "table", mTable },
-        { "outcome",
-          aReading.mOutcome == table_reading::outcome::Refused ? "refused"
-                                                               : "no_answer" },
-        { "revision", mRevision.value_or(0) } });
+    Log(log_level::Warning,
+        "store_lost",
+        { { "table", mTable },
+          { "outcome",
+            aReading.mOutcome == table_read_result::outcome::Refused
+              ? "refused"
+              : "no_answer" },
+          { "revision", mRevision.value_or(0) } });
   }
   mReached = mReached && historyLost;
   mMayHaveMissedChanges = true;
@@ -275,7 +275,7 @@
 }
 
 void
-table_follower::RetryAfterFailure(const table_reading& aReading)
+table_follower::RetryAfterFailure(const table_read_result& aReading)
 {
   RecordFailure(aReading);
   const duration pause =
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -10,11 +10,11 @@
 
 /// True if the table has more rows than this page.
 bool
-HasMoreRows(const table_reading& aReading);
+HasMoreRows(const table_read_result& aReading);
 
 /// Where the next page begins: a key that sorts directly after the last one.
 std::string
-NextPageKey(const table_reading& aReading);
+NextPageKey(const table_read_result& aReading);
 
 class table_follower
 {
@@ -22,9 +22,9 @@
   struct listener
   {
     /// Called with the full table as of a revision.
-    std::function<void(const table_reading&)> mOnTable;
+    std::function<void(const table_read_result&)> mOnTable;
     /// Called with the rows that have changed.
-    std::function<void(const table_reading&)> mOnChanges;
+    std::function<void(const table_read_result&)> mOnChanges;
   };
 
   /// After a change the next poll waits for `aBatchDelay`, so that a series of
@@ -32,7 +32,7 @@
   /// within which changes have to take effect.
   table_follower(event_loop& aLoop,
                  const gateway_adapter& aAdapter,
-                 gateway_board& aBoard,
+                 gateway_state& aBoard,
                  const ip_address& aStore,
                  std::string aTable,
                  duration aBatchDelay,
@@ -57,25 +57,25 @@
   /// Reads one page of a full read; an empty key starts from the beginning.
   void ReadTableFrom(const std::string& aFromKey);
   /// Decodes an answer; logs slow and large ones.
-  table_reading DecodeAnswer(const http_answer& aAnswer);
-  void OnTablePage(table_reading aReading);
+  table_read_result DecodeAnswer(const http_answer& aAnswer);
+  void OnTablePage(table_read_result aReading);
   void ReadChanges();
-  void OnChanges(const table_reading& aReading);
+  void OnChanges(const table_read_result& aReading);
   /// Updates state, log and metrics after a failed call.
-  void RecordFailure(const table_reading& aReading);
+  void RecordFailure(const table_read_result& aReading);
   /// Records the failure and schedules a retry with back-off.
-  void RetryAfterFailure(const table_reading& aReading);
+  void RetryAfterFailure(const table_read_result& aReading);
   void RecordSuccess();
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   std::string mTable;
   duration mChangeBatchDelay;
   bool mChangeBatchPending = false; ///< The next poll is delayed.
   listener mListener;
   http_caller mCaller;
-  table_reading mAccumulated;
+  table_read_result mAccumulated;
   std::optional<std::uint64_t> mRevision;
   /// If set, the next call is a full read. Polling instead would transfer each
   /// version of each row since the last revision, while a full read has only
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -70,7 +70,7 @@
     mWorld.mStore.Remove("servers", "i-desk");
     mWorld.mSettings.mPeers.mPort = mWorld.FreePort();
     mWorld.Start();
-    mSecond = SecondEntry(mWorld, mWorld.mSettings.mStore);
+    mSecond = StartSecondGateway(mWorld, mWorld.mSettings.mStore);
     mWorld.Until(
       [this]() {
         return mSecond->Board().mEndpointsKnown &&
@@ -198,10 +198,10 @@
     gateways.CrashThreeEndpoints();
     const std::size_t sends = gateways.mPool.mSendCount;
     gateways.mSecond = nullptr;
-    gateways.mSecond = SecondEntry(gateways.mWorld, kNoStore);
+    gateways.mSecond = StartSecondGateway(gateways.mWorld, kUnreachableStore);
     gateways.mWorld.Until(
       [&gateways]() {
-        const gateway_board& board = gateways.mSecond->Board();
+        const gateway_state& board = gateways.mSecond->Board();
         return board.mManifest != nullptr && board.mEndpointsKnown &&
                !board.mQuarantine.mHeld.empty();
       },
@@ -230,7 +230,7 @@
     gateways.mWorld.mGateway = nullptr;
     gateways.mWorld.Start();
     gateways.mSecond =
-      SecondEntry(gateways.mWorld, gateways.mWorld.mStore.Address());
+      StartSecondGateway(gateways.mWorld, gateways.mWorld.mStore.Address());
     // The first request may arrive before the table has been read.
     for (int i = 0; i < 4; ++i) {
       (void)gateways.SendAndWait(kCrashingBody);
@@ -256,8 +256,8 @@
     }
 
     gateway_adapter mAdapter = platform::Adapter();
-    gateway_board mBoard;
-    endpoint_connections mConnections;
+    gateway_state mBoard;
+    endpoint_connection_pool mConnections;
     gossip_sender mSender;
     crash_detector mDetector;
   };
@@ -472,8 +472,8 @@
       },
       "the endpoint that has started");
     gateways.mWorld.For(kGossipTime);
-    const gateway_board& one = gateways.mWorld.mGateway->Board();
-    const gateway_board& other = gateways.mSecond->Board();
+    const gateway_state& one = gateways.mWorld.mGateway->Board();
+    const gateway_state& other = gateways.mSecond->Board();
     // The gateway that has not answered it quarantines it until the other one
     // clears it.
     gateways.mWorld.Until(
--- a/Tests/Gateway/StoreOutageTest.cpp
+++ b/Tests/Gateway/StoreOutageTest.cpp
@@ -49,9 +49,12 @@
       mWorld.mSettings.mPeers.mPort = mWorld.FreePort();
       mWorld.Start();
       WriteManifest(mStore, 3, "");
-      ListEndpoint(
-        mStore, "i-desk", "desk", mWorld.mDesk.mServer.Address(), "ready");
-      mSecond = SecondEntry(mWorld, mStore.Address());
+      ListEndpoint(mStore,
+                   "i-desk",
+                   "desk",
+                   mWorld.mDeskEndpoint.mServer.Address(),
+                   "ready");
+      mSecond = StartSecondGateway(mWorld, mStore.Address());
       mWorld.Until([this]() { return Version(*mSecond) == 3; }, "the manifest");
     }
 
--- a/Tests/Unit/LimitTest.cpp
+++ b/Tests/Unit/LimitTest.cpp
@@ -83,7 +83,7 @@
     bool mPartitioned = false;           ///< From the other gateways.
     bool mDropped = false; ///< Removed from its peers' membership lists, and
                            ///< they from its list.
-    unsigned mBoot = 0;
+    unsigned mGatewayIncarnation = 0;
   };
 
   std::size_t RandomGateway()
@@ -143,14 +143,15 @@
         mNow - *receiver.mAnswered >= milliseconds(500)) {
       mCounted.push_back(mNow);
     }
-    mEvents.emplace(mNow + milliseconds(150),
-                    [this, at, boot = receiver.mBoot]() { Answer(at, boot); });
+    mEvents.emplace(
+      mNow + milliseconds(150),
+      [this, at, boot = receiver.mGatewayIncarnation]() { Answer(at, boot); });
   }
 
   void Answer(std::size_t aGateway, unsigned aBoot)
   {
     gateway_model& answered = mGateways[aGateway];
-    if (answered.mBoot != aBoot) {
+    if (answered.mGatewayIncarnation != aBoot) {
       return;
     }
     answered.mAnswered = answered.mAnswered.value_or(mNow);
@@ -173,9 +174,9 @@
 
   void Restart(std::size_t aGateway)
   {
-    const unsigned boot = mGateways[aGateway].mBoot + 1;
+    const unsigned boot = mGateways[aGateway].mGatewayIncarnation + 1;
     mGateways[aGateway] = {};
-    mGateways[aGateway].mBoot = boot;
+    mGateways[aGateway].mGatewayIncarnation = boot;
     // A peer sends its known limits to a new gateway.
     const endpoint_limit known = mGateways[RandomGateway()].mLimit;
     if (known.mPerSecond.has_value()) {
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -125,7 +125,7 @@
   /// gateway.
   struct sized_fleet
   {
-    subset_ring mRing;
+    subset_ring mSubsetRing;
     std::vector<std::string> mPeers;
     std::vector<engine_key> mPreferred;
   };
@@ -135,9 +135,9 @@
     std::vector<std::string> hosts = test::Hosts(aGateways);
     const endpoint_registry board = test::Engines(aEngines);
     sized_fleet fleet;
-    fleet.mRing = test::Ring(hosts, board);
+    fleet.mSubsetRing = test::Ring(hosts, board);
     for (const std::string& id :
-         test::PreferredBy(fleet.mRing, hosts.front(), board)) {
+         test::PreferredBy(fleet.mSubsetRing, hosts.front(), board)) {
       fleet.mPreferred.push_back(EngineKey(id));
     }
     hosts.erase(hosts.begin());
@@ -149,7 +149,7 @@
   static peer_message EmptyMessage()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     return message;
@@ -174,7 +174,8 @@
     peer_message end = EmptyMessage();
     end.mUpdates.mEndedPlacements = { placed.mKey };
     const std::size_t preferringPeers =
-      HostsThatPrefer(aFleet.mRing, aFleet.mPeers, placed.mEngines).size();
+      HostsThatPrefer(aFleet.mSubsetRing, aFleet.mPeers, placed.mEngines)
+        .size();
     std::size_t sent = 0;
     for (const peer_message& one : { announcement, end }) {
       const std::size_t bytes = EncodePeerMessage(one, aNow).size();
@@ -326,7 +327,7 @@
   void ShortPlacementFitsByteLimit()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     message.mUpdates.mNewPlacements = { ShortPlacement() };
@@ -342,7 +343,7 @@
   {
     rc::check("news", [](std::uint64_t aBoot, const std::string& aHost) {
       peer_message message;
-      message.mBoot = aBoot;
+      message.mGatewayIncarnation = aBoot;
       message.mLeaving = *rc::gen::arbitrary<bool>();
       message.mManifest = *rc::gen::arbitrary<std::uint64_t>();
       message.mList = *rc::gen::arbitrary<std::uint64_t>();
@@ -384,7 +385,7 @@
   {
     rc::check("mutated news", [](const std::string& aRandomBytes) {
       peer_message message;
-      message.mBoot = kBoot;
+      message.mGatewayIncarnation = kBoot;
       message.mUpdates.mNewPlacements = { ShortPlacement() };
       std::string bytes = EncodePeerMessage(message, kStart);
       const std::size_t at = *rc::gen::inRange<std::size_t>(0, bytes.size());
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -41,11 +41,11 @@
 public:
   burst_simulation(std::size_t aGateways, std::size_t aEngines)
     : mHosts(Hosts(aGateways))
-    , mRing(Ring(mHosts, Engines(aEngines)))
+    , mSubsetRing(Ring(mHosts, Engines(aEngines)))
   {
     for (const std::string& host : mHosts) {
       mGateways.push_back({ Engines(aEngines), {} });
-      MarkPreferred(mGateways.back().mRegistry, mRing, host);
+      MarkPreferred(mGateways.back().mRegistry, mSubsetRing, host);
     }
   }
 
@@ -90,7 +90,7 @@
       const message& one = mMessages.front();
       for (std::size_t i = 0; i < mGateways.size(); ++i) {
         if (i != one.mSender &&
-            Prefers(mRing, mHosts[i], one.mPlaced.mEngines.front())) {
+            Prefers(mSubsetRing, mHosts[i], one.mPlaced.mEngines.front())) {
           AddPlacement(mGateways[i].mLedger, one.mPlaced, one.mDue);
         }
       }
@@ -98,7 +98,7 @@
   }
 
   std::vector<std::string> mHosts;
-  subset_ring mRing;
+  subset_ring mSubsetRing;
   std::vector<simulated_gateway> mGateways;
   std::deque<message> mMessages;
   std::map<engine_key, std::size_t> mRequestsOnEngine;
