--- a/Libraries/LibGateway/BeliefWatch.cpp
+++ b/Libraries/LibGateway/BeliefWatch.cpp
@@ -3,7 +3,7 @@
 namespace primrose {
 
 belief_watch::belief_watch(event_loop& aLoop,
-                           gateway_board& aBoard,
+                           gateway_state& aBoard,
                            std::string aName,
                            held aHeld,
                            behind aBehind)
@@ -35,7 +35,7 @@
     NoteLevel();
     return;
   }
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   since = since.value_or(mLoop.Now());
   if (mTimer == 0) {
     Wait();
@@ -66,7 +66,7 @@
 void
 belief_watch::NoteLevel()
 {
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   // What a peer was told a moment earlier is not worth a line.
   if (since.has_value() && mLoop.Now() - *since > BehindPatience(0)) {
     Log(log_level::Warning,
--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashWatch.cpp
@@ -47,7 +47,7 @@
 /// Whether this entry is the one, of those it knows, that does what is to be
 /// done once for a request.
 bool
-IsOwnDuty(const gateway_board& aBoard,
+IsOwnDuty(const gateway_state& aBoard,
           const std::string& aOwnHost,
           request_digest aRequest)
 {
@@ -104,8 +104,8 @@
 crash_watch::crash_watch(event_loop& aLoop,
                          const gateway_settings& aSettings,
                          const gateway_adapter& aAdapter,
-                         gateway_board& aBoard,
-                         endpoint_connections& aConnections,
+                         gateway_state& aBoard,
+                         endpoint_connection_pool& aConnections,
                          news_outbox& aOutbox)
   : mLoop(aLoop)
   , mSettings(aSettings)
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashWatch.h
@@ -33,8 +33,8 @@
   crash_watch(event_loop& aLoop,
               const gateway_settings& aSettings,
               const gateway_adapter& aAdapter,
-              gateway_board& aBoard,
-              endpoint_connections& aConnections,
+              gateway_state& aBoard,
+              endpoint_connection_pool& aConnections,
               news_outbox& aOutbox);
   ~crash_watch();
   crash_watch(const crash_watch&) = delete;
@@ -96,8 +96,8 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
-  endpoint_connections& mConnections;
+  gateway_state& mBoard;
+  endpoint_connection_pool& mConnections;
   news_outbox& mOutbox;
   quarantine_table mTable;
   std::map<std::string, std::vector<open_case>> mCases; ///< By endpoint.
--- a/Libraries/LibGateway/EntryRoll.cpp
+++ b/Libraries/LibGateway/EntryRoll.cpp
@@ -19,7 +19,7 @@
 entry_roll::entry_roll(event_loop& aLoop,
                        const gateway_settings& aSettings,
                        const gateway_adapter& aAdapter,
-                       gateway_board& aBoard,
+                       gateway_state& aBoard,
                        learnt aLearnt)
   : mLoop(aLoop)
   , mSettings(aSettings)
@@ -48,27 +48,27 @@
 void
 entry_roll::Learn(const std::string& aFromKey)
 {
-  mCaller.Call(mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
-               kTimeout,
-               [this, aFromKey](const http_answer& aAnswer) {
-                 const table_reading reading = mAdapter.mDecodeTable(aAnswer);
-                 CountStoreCall(mBoard.mMetrics, reading.mOutcome);
-                 if (reading.mOutcome != table_reading::outcome::Good) {
-                   (void)mLoop.After(kPause,
-                                     [this, aFromKey]() { Learn(aFromKey); });
-                   return;
-                 }
-                 for (const row_change<std::string>& row : reading.mRows) {
-                   mHosts.push_back(row.mKey);
-                 }
-                 if (GoesOn(reading)) {
-                   Learn(NextKey(reading));
-                   return;
-                 }
-                 mBoard.mEntriesListed = mHosts.size();
-                 mBoard.mEntriesKnown = true;
-                 mLearnt(mHosts);
-               });
+  mCaller.Call(
+    mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
+    kTimeout,
+    [this, aFromKey](const http_answer& aAnswer) {
+      const table_read_result reading = mAdapter.mDecodeTable(aAnswer);
+      CountStoreCall(mBoard.mMetrics, reading.mOutcome);
+      if (reading.mOutcome != table_read_result::outcome::Good) {
+        (void)mLoop.After(kPause, [this, aFromKey]() { Learn(aFromKey); });
+        return;
+      }
+      for (const row_change<std::string>& row : reading.mRows) {
+        mHosts.push_back(row.mKey);
+      }
+      if (GoesOn(reading)) {
+        Learn(NextKey(reading));
+        return;
+      }
+      mBoard.mEntriesListed = mHosts.size();
+      mBoard.mEntriesKnown = true;
+      mLearnt(mHosts);
+    });
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/EntryRoll.h
+++ b/Libraries/LibGateway/EntryRoll.h
@@ -16,7 +16,7 @@
   entry_roll(event_loop& aLoop,
              const gateway_settings& aSettings,
              const gateway_adapter& aAdapter,
-             gateway_board& aBoard,
+             gateway_state& aBoard,
              learnt aLearnt);
   entry_roll(const entry_roll&) = delete;
   entry_roll& operator=(const entry_roll&) = delete;
@@ -31,7 +31,7 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   learnt mLearnt;
   std::vector<std::string> mHosts;
   http_caller mCaller;
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -49,16 +49,16 @@
 } // namespace
 
 bool
-exchange::ChooseEngines()
+exchange::TrySendToEngines()
 {
-  gateway_board& board = mContext.mBoard;
-  const engine_work work = WorkOf();
+  gateway_state& board = mContext.mBoard;
+  const engine_work work = DescribeEngineWork();
   const std::optional<engine_choice> choice =
     PlaceOnEngines(board.mEndpoints,
                    board.mLedger,
                    *mService->mEngine,
                    work,
-                   mPassedOver,
+                   mExcludedEndpoints,
                    mContext.mSettings.mDataCentre,
                    mContext.mLoop.Now());
   if (!choice.has_value()) {
@@ -73,7 +73,7 @@
       if (takenOn || board.mDraining) {
         break;
       }
-      WaitForPlace(*choice);
+      PostponePlacement(*choice);
       return true;
     case engine_verdict::TurnAway:
       if (takenOn) {
@@ -85,9 +85,9 @@
       return true;
   }
   TakeToken(choice->mWriter->mLimit, mContext.mLoop.Now());
-  NotePlacement(*choice, work);
+  RecordPlacement(*choice, work);
   if (choice->mHolders > 0) {
-    SetMemoryAside(*choice);
+    ReserveMemory(*choice);
     return true;
   }
   SendToEngines(choice->mWriter->mListed, Listed(choice->mReaders), 0);
@@ -102,13 +102,13 @@
 }
 
 engine_work
-exchange::WorkOf() const
+exchange::DescribeEngineWork() const
 {
   engine_work work;
   work.mService = mService->mName;
   work.mPromptTokens = mFacts.mPromptTokens;
   work.mAnswerTokens =
-    std::min(mFacts.mMostAnswerTokens, mService->mEngine->mUsualAnswerTokens);
+    std::min(mFacts.mMaxAnswerTokens, mService->mEngine->mUsualAnswerTokens);
   work.mObjective = Objective();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
@@ -120,7 +120,7 @@
 }
 
 void
-exchange::WaitForPlace(const engine_choice& aChoice)
+exchange::PostponePlacement(const engine_choice& aChoice)
 {
   if (!mWaited) {
     mWaited = true;
@@ -133,9 +133,9 @@
           { "harm", TotalHarm(aChoice.mHarm) },
           { "price", aChoice.mPrice } });
   }
-  mReweighTimer = mContext.mLoop.After(kReweighInterval, [this]() {
+  mPlacementTimer = mContext.mLoop.After(kReweighInterval, [this]() {
     const std::shared_ptr<exchange> self = shared_from_this();
-    mReweighTimer = 0;
+    mPlacementTimer = 0;
     Dispatch();
   });
 }
@@ -147,7 +147,7 @@
   const duration after = TimeUntilAccepted(mContext.mBoard.mEndpoints,
                                            mContext.mBoard.mLedger,
                                            *mService->mEngine,
-                                           WorkOf(),
+                                           DescribeEngineWork(),
                                            mContext.mSettings.mDataCentre,
                                            mContext.mLoop.Now(),
                                            Left() / kCallersPatience);
@@ -175,18 +175,19 @@
 }
 
 void
-exchange::NotePlacement(const engine_choice& aChoice, const engine_work& aWork)
+exchange::RecordPlacement(const engine_choice& aChoice,
+                          const engine_work& aWork)
 {
-  gateway_board& board = mContext.mBoard;
+  gateway_state& board = mContext.mBoard;
   placement placed = PlacementOf(
-    aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacement));
+    aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacementNumber));
   placed.mOwner = board.mBoot;
   placed.mBegan = mBegan;
   placed.mExpires = mDeadline;
   NotePlaced(board.mLedger, placed, mContext.mLoop.Now());
   mContext.mOutbox.TellPlaced(placed);
   mPlacement = placed.mKey;
-  mExpectedMs = aChoice.mFirstEventMs;
+  mExpectedFirstEventMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
       "placed",
       { { "request", mFacts.mId },
@@ -206,12 +207,12 @@
 }
 
 void
-exchange::SetMemoryAside(const engine_choice& aChoice)
+exchange::ReserveMemory(const engine_choice& aChoice)
 {
   const std::vector<endpoint> readers = Listed(aChoice.mReaders);
   const endpoint writer = aChoice.mWriter->mListed;
   const std::size_t holders = aChoice.mHolders;
-  mMemory = std::make_shared<memory_hold>(
+  mMemory = std::make_shared<memory_reservation>(
     mContext.mLoop,
     mContext.mAdapter,
     mContext.mBoard,
@@ -232,7 +233,7 @@
       Log(log_level::Info,
           "memory_refused",
           { { "request", self->mFacts.mId }, { "holders", holders } });
-      self->LeaveEndpoint();
+      self->ReleaseAttempt();
       if (++self->mMemoryRefusals >= kMostMemoryRefusals) {
         self->GiveUp(error_kind::Overloaded, "no_memory");
         return;
@@ -246,24 +247,25 @@
                         const std::vector<endpoint>& aReaders,
                         std::size_t aHolders)
 {
-  std::vector<reading_helper> helpers;
+  std::vector<prefill_helper> helpers;
   for (std::size_t i = 0; i < aReaders.size(); ++i) {
     helpers.push_back(
       { aReaders[i].mAddress, i < aHolders ? mMemory->Reservation() : "" });
   }
-  SendTo(aWriter, helpers);
-  WatchSilence(FirstEventPatience(WorkOf(), mExpectedMs, !aReaders.empty()));
+  StartAttempt(aWriter, helpers);
+  StartResponseTimer(FirstEventPatience(
+    DescribeEngineWork(), mExpectedFirstEventMs, !aReaders.empty()));
 }
 
 bool
-exchange::ChoosePlain()
+exchange::TrySendToPlainEndpoint()
 {
-  gateway_board& board = mContext.mBoard;
+  gateway_state& board = mContext.mBoard;
   known_endpoint* const chosen =
     ChoosePlainEndpoint(board.mEndpoints,
                         mService->mName,
                         mContext.mSettings.mDataCentre,
-                        mPassedOver,
+                        mExcludedEndpoints,
                         mContext.mLoop.Now(),
                         Uniform(board.mRandom));
   if (chosen == nullptr) {
@@ -279,9 +281,9 @@
         { "outstanding", chosen->mOutstanding },
         { "attempt", mTried.size() + 1 },
         { "manifest", mManifest->Manifest().mVersion } });
-  SendTo(chosen->mListed, {});
+  StartAttempt(chosen->mListed, {});
   if (mRoute->mKind == call_kind::Idempotent) {
-    WatchSilence(FromSeconds(kSilenceOfObjective * Seconds(Objective())));
+    StartResponseTimer(FromSeconds(kSilenceOfObjective * Seconds(Objective())));
   }
   return true;
 }
@@ -292,7 +294,7 @@
   const std::optional<duration> wait =
     TimeUntilAdmissible(mContext.mBoard.mEndpoints,
                         mService->mName,
-                        mPassedOver,
+                        mExcludedEndpoints,
                         mContext.mLoop.Now());
   if (!wait.has_value()) {
     GiveUp(error_kind::NoEndpoint, "no_endpoint");
@@ -307,10 +309,10 @@
 }
 
 void
-exchange::SendTo(const endpoint& aEndpoint,
-                 const std::vector<reading_helper>& aHelpers)
+exchange::StartAttempt(const endpoint& aEndpoint,
+                       const std::vector<prefill_helper>& aHelpers)
 {
-  forwarding to;
+  forwarding_info to;
   to.mEndpointId = aEndpoint.mId;
   to.mAddress = aEndpoint.mAddress;
   to.mTimeLeft = Left();
@@ -319,9 +321,9 @@
   to.mLastEvent =
     mCursor.LastId().has_value() ? mCursor.LastId() : mFacts.mLastEvent;
   mHelpers = aHelpers.size();
-  mEventsHere = false;
+  mAttemptHasEvents = false;
   mTried.push_back(aEndpoint.mId);
-  mPassedOver.push_back(aEndpoint.mId);
+  mExcludedEndpoints.push_back(aEndpoint.mId);
   const auto known = mContext.mBoard.mEndpoints.mEndpoints.find(aEndpoint.mId);
   if (known != mContext.mBoard.mEndpoints.mEndpoints.end()) {
     ++known->second.mOutstanding;
@@ -336,55 +338,56 @@
   // A call that may not be repeated goes on a new connection: on a kept one
   // that the endpoint closes at the same moment nobody could say whether it
   // ran, and the caller would have to be told so.
-  const bool fresh = mFreshNext || !Repeatable();
-  mFreshNext = false;
+  const bool fresh = mNeedsNewConnection || !IsRetryable();
+  mNeedsNewConnection = false;
   mAttempt->Send(
     mContext.mAdapter.mWriteRequest(mHead, to, mBody.size()), mBody, fresh);
 }
 
 void
-exchange::WatchSilence(duration aLimit)
+exchange::StartResponseTimer(duration aLimit)
 {
-  mContext.mLoop.Cancel(mSilenceTimer);
-  mSilenceTimer = mContext.mLoop.After(aLimit, [this]() {
-    mSilenceTimer = 0;
-    OnSilence();
+  mContext.mLoop.Cancel(mResponseTimer);
+  mResponseTimer = mContext.mLoop.After(aLimit, [this]() {
+    mResponseTimer = 0;
+    OnResponseTimeout();
   });
 }
 
 void
-exchange::WatchStall(const attempt& aAttempt)
+exchange::StartStallTimer(const attempt& aAttempt)
 {
   if (mRoute->mLongestPause > duration::zero()) {
-    WatchSilence(PausePatience(mRoute->mLongestPause) + KnownReading(aAttempt));
+    StartResponseTimer(PausePatience(mRoute->mLongestPause) +
+                       PrefillBacklog(aAttempt));
   }
 }
 
 void
-exchange::OnSilence()
+exchange::OnResponseTimeout()
 {
   // An endpoint that is slow is still better than none at all.
-  if (mAttempt == nullptr || !HasAlternative() || !MayRepeat()) {
+  if (mAttempt == nullptr || !CanRetryElsewhere() || !ConsumeRetryBudget()) {
     return;
   }
-  const duration reading = KnownReading(*mAttempt);
+  const duration reading = PrefillBacklog(*mAttempt);
   if (reading > kWorthWaitingFor) {
     // Placed there since: the engine is busy, not dark.
-    WatchSilence(reading + kWorthWaitingFor);
+    StartResponseTimer(reading + kWorthWaitingFor);
     return;
   }
-  if (IsFullAndWorks(*mAttempt)) {
+  if (IsFullButResponsive(*mAttempt)) {
     // The request waits for a slot. To avoid the engine, or to ask for the
     // prompt again elsewhere, gives the others more to do, until they are
     // silent in their turn.
-    WatchSilence(kWorksIfHeardWithin);
+    StartResponseTimer(kWorksIfHeardWithin);
     return;
   }
-  LogSilence();
+  LogResponseTimeout();
   Sign(*mAttempt, endpoint_sign::Silent);
-  NoteBroken(*mAttempt, true);
+  ReportUnfinishedAttempt(*mAttempt, true);
   mMayHaveRun = mMayHaveRun || mAttempt->Sent();
-  LeaveEndpoint();
+  ReleaseAttempt();
   Retry("silent");
 }
 
@@ -398,7 +401,7 @@
 }
 
 const engine_load*
-exchange::LoadOf(const attempt& aAttempt) const
+exchange::FindEngineLoad(const attempt& aAttempt) const
 {
   const engine_ledger& ledger = mContext.mBoard.mLedger;
   const auto load = ledger.mEngines.find(EngineKey(aAttempt.Endpoint().mId));
@@ -406,27 +409,27 @@
 }
 
 bool
-exchange::IsFullAndWorks(const attempt& aAttempt) const
+exchange::IsFullButResponsive(const attempt& aAttempt) const
 {
   const known_endpoint* const known = Known(aAttempt);
-  const engine_load* const load = LoadOf(aAttempt);
+  const engine_load* const load = FindEngineLoad(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
          load->mWriting.size() >= mService->mEngine->mSlots &&
          mContext.mLoop.Now() - known->mHeard < kWorksIfHeardWithin;
 }
 
 void
-exchange::LogSilence() const
+exchange::LogResponseTimeout() const
 {
   const time_point now = mContext.mLoop.Now();
   const known_endpoint* const known = Known(*mAttempt);
-  const engine_load* const load = LoadOf(*mAttempt);
+  const engine_load* const load = FindEngineLoad(*mAttempt);
   const bool heard = known != nullptr && known->mHeard != time_point{};
   Log(log_level::Info,
       "endpoint_silent",
       { { "request", mFacts.mId },
         { "endpoint", mAttempt->Endpoint().mId },
-        { "expected_ms", mExpectedMs },
+        { "expected_ms", mExpectedFirstEventMs },
         { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
         { "events", mCursor.Count() },
         { "helpers", mHelpers },
@@ -437,24 +440,24 @@
 }
 
 duration
-exchange::KnownReading(const attempt& aAttempt) const
+exchange::PrefillBacklog(const attempt& aAttempt) const
 {
-  const engine_load* const load = LoadOf(aAttempt);
+  const engine_load* const load = FindEngineLoad(aAttempt);
   return load == nullptr
            ? duration::zero()
            : FromSeconds(BacklogMs(*load, mContext.mLoop.Now()) / kMsPerSecond);
 }
 
 bool
-exchange::HasAlternative() const
+exchange::CanRetryElsewhere() const
 {
-  if (!Repeatable() || mTried.size() >= mRoute->mMaxAttempts) {
+  if (!IsRetryable() || mTried.size() >= mRoute->mMaxAttempts) {
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
     if (Admissible(known, mService->mName, mContext.mLoop.Now()) &&
-        std::find(mPassedOver.begin(), mPassedOver.end(), id) ==
-          mPassedOver.end()) {
+        std::find(mExcludedEndpoints.begin(), mExcludedEndpoints.end(), id) ==
+          mExcludedEndpoints.end()) {
       return true;
     }
   }
@@ -462,7 +465,7 @@
 }
 
 bool
-exchange::MayRepeat()
+exchange::ConsumeRetryBudget()
 {
   return TakeRepeat(mContext.mBoard.mRepeats[mService->mName],
                     mContext.mSettings.mRepeats,
@@ -490,9 +493,9 @@
 }
 
 void
-exchange::LeaveEndpoint()
+exchange::ReleaseAttempt()
 {
-  mContext.mLoop.Cancel(mSilenceTimer);
+  mContext.mLoop.Cancel(mResponseTimer);
   if (mAttempt != nullptr) {
     known_endpoint* const known = Known(*mAttempt);
     if (known != nullptr && known->mOutstanding > 0) {
@@ -509,7 +512,7 @@
   }
   if (mPlacement.has_value()) {
     const placement_end end =
-      mEventsHere ? placement_end::Read : placement_end::Unread;
+      mAttemptHasEvents ? placement_end::Read : placement_end::Unread;
     const auto placed = mContext.mBoard.mLedger.mPlacements.find(*mPlacement);
     if (placed != mContext.mBoard.mLedger.mPlacements.end()) {
       mContext.mOutbox.TellEnded(*mPlacement, end, placed->second.mEngines);
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/NewsOutbox.cpp
@@ -36,7 +36,7 @@
 
 news_outbox::news_outbox(event_loop& aLoop,
                          const gateway_settings& aSettings,
-                         gateway_board& aBoard)
+                         gateway_state& aBoard)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
@@ -215,7 +215,7 @@
   peer_message message;
   message.mBoot = mBoard.mBoot;
   message.mLeaving = mLeaving;
-  message.mManifest = ManifestHeld(mBoard);
+  message.mManifest = CurrentManifestVersion(mBoard);
   message.mList = mBoard.mEndpoints.mNewestRevision;
   return message;
 }
@@ -229,7 +229,7 @@
     return EncodeNews(message, mLoop.Now());
   }
   const std::size_t hosts = std::min(kMostHosts, mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator peer =
+  std::map<std::string, peer_state>::const_iterator peer =
     mBoard.mPeers.begin();
   std::advance(peer,
                static_cast<std::ptrdiff_t>(
@@ -251,7 +251,7 @@
   peer_message message = Message();
   message.mNews = std::exchange(mGathered, {});
   const std::vector<std::string> concerned = HostsThatPrefer(
-    mBoard.mRing, PeerHosts(mBoard), std::exchange(mConcerned, {}));
+    mBoard.mSubsetRing, PeerHosts(mBoard), std::exchange(mConcerned, {}));
   const std::string bytes = EncodeNews(message, mLoop.Now());
   for (const std::string& host : PeersToTell(concerned, bytes.size())) {
     Send(bytes, host);
@@ -298,7 +298,7 @@
   // in its turn.
   const std::string bytes = EncodeBeat(mBeats++ % kBeatsPerNamedHosts == 0);
   const std::size_t told = PeersPerBeat(mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator next =
+  std::map<std::string, peer_state>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastBeatTold);
   for (std::size_t i = 0; i < told; ++i, ++next) {
     if (next == mBoard.mPeers.end()) {
@@ -307,7 +307,8 @@
     mLastBeatTold = next->first;
     Send(bytes, next->first);
   }
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::BeatsSent, told * bytes.size());
+  CountPeerBytes(
+    mBoard.mMetrics, peer_traffic::HeartbeatsSent, told * bytes.size());
 }
 
 void
--- a/Libraries/LibGateway/NewsOutbox.h
+++ b/Libraries/LibGateway/NewsOutbox.h
@@ -13,7 +13,7 @@
 public:
   news_outbox(event_loop& aLoop,
               const gateway_settings& aSettings,
-              gateway_board& aBoard);
+              gateway_state& aBoard);
   ~news_outbox();
   news_outbox(const news_outbox&) = delete;
   news_outbox& operator=(const news_outbox&) = delete;
@@ -66,7 +66,7 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   datagram_socket* mSocket = nullptr;
   told_news mGathered;                ///< Not yet told.
   std::vector<engine_key> mConcerned; ///< Engines of what is gathered.
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerNews.cpp
@@ -40,20 +40,21 @@
 } // namespace
 
 std::uint64_t
-ManifestHeld(const gateway_board& aBoard)
+CurrentManifestVersion(const gateway_state& aBoard)
 {
   return aBoard.mManifest == nullptr ? 0
                                      : aBoard.mManifest->Manifest().mVersion;
 }
 
 std::uint64_t
-ListHeld(const gateway_board& aBoard)
+CurrentListRevision(const gateway_state& aBoard)
 {
-  return std::max(aBoard.mEndpoints.mNewestRevision, aBoard.mListAsOf);
+  return std::max(aBoard.mEndpoints.mNewestRevision,
+                  aBoard.mEndpointListRevision);
 }
 
 std::vector<std::string>
-PeerHosts(const gateway_board& aBoard)
+PeerHosts(const gateway_state& aBoard)
 {
   std::vector<std::string> hosts;
   hosts.reserve(aBoard.mPeers.size());
@@ -64,10 +65,10 @@
 }
 
 std::vector<std::string>
-PeersAhead(const gateway_board& aBoard)
+PeersAhead(const gateway_state& aBoard)
 {
-  const std::uint64_t manifest = ManifestHeld(aBoard);
-  const std::uint64_t list = ListHeld(aBoard);
+  const std::uint64_t manifest = CurrentManifestVersion(aBoard);
+  const std::uint64_t list = CurrentListRevision(aBoard);
   std::vector<std::string> ahead;
   for (const auto& [host, peer] : aBoard.mPeers) {
     if (peer.mManifest > manifest || peer.mList > list) {
@@ -78,18 +79,18 @@
 }
 
 void
-RankSubsets(gateway_board& aBoard, const std::string& aOwnHost)
+UpdateSubsetRing(gateway_state& aBoard, const std::string& aOwnHost)
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  RankEntries(aBoard.mRing, hosts);
-  RankEngines(aBoard.mRing, aBoard.mEndpoints);
-  MarkPreferred(aBoard.mEndpoints, aBoard.mRing, aOwnHost);
-  aBoard.mRingStale = false;
+  RankEntries(aBoard.mSubsetRing, hosts);
+  RankEngines(aBoard.mSubsetRing, aBoard.mEndpoints);
+  MarkPreferred(aBoard.mEndpoints, aBoard.mSubsetRing, aOwnHost);
+  aBoard.mSubsetRingStale = false;
 }
 
 std::size_t
-EntryCount(const gateway_board& aBoard)
+EntryCount(const gateway_state& aBoard)
 {
   constexpr std::size_t kBeforeAnyIsKnown = 64;
   if (!aBoard.mEntriesKnown && aBoard.mPeers.empty()) {
@@ -100,7 +101,7 @@
 
 peer_news::peer_news(event_loop& aLoop,
                      const gateway_settings& aSettings,
-                     gateway_board& aBoard,
+                     gateway_state& aBoard,
                      news_outbox& aOutbox,
                      crash_watch& aCrashes,
                      const behind& aBehind)
@@ -117,14 +118,14 @@
         if (aBoard.mManifest == nullptr) {
           return std::nullopt;
         }
-        return ManifestHeld(aBoard);
+        return CurrentManifestVersion(aBoard);
       },
       [aBehind](duration aPatience) { aBehind(belief::Manifest, aPatience); })
   , mListWatch(
       aLoop,
       aBoard,
       "endpoints",
-      [&aBoard]() { return std::optional(ListHeld(aBoard)); },
+      [&aBoard]() { return std::optional(CurrentListRevision(aBoard)); },
       [aBehind](duration aPatience) { aBehind(belief::Endpoints, aPatience); })
 {
 }
@@ -243,7 +244,7 @@
     ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
   }
 }
 
@@ -267,7 +268,7 @@
   mCandidates.erase(aFrom.mHost);
   if (message.mLeaving) {
     mBoard.mPeers.erase(aFrom.mHost);
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
     return;
   }
   NotePeer(message, aFrom.mHost);
@@ -291,7 +292,7 @@
     aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
   };
   if (isNew) {
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
     Log(log_level::Info,
         "peer_found",
         { { "host", aHost }, { "peers", mBoard.mPeers.size() } });
--- a/Libraries/LibGateway/PeerNews.h
+++ b/Libraries/LibGateway/PeerNews.h
@@ -23,7 +23,7 @@
 
   peer_news(event_loop& aLoop,
             const gateway_settings& aSettings,
-            gateway_board& aBoard,
+            gateway_state& aBoard,
             news_outbox& aOutbox,
             crash_watch& aCrashes,
             const behind& aBehind);
@@ -56,7 +56,7 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   news_outbox& mOutbox;
   crash_watch& mCrashes;
   std::unique_ptr<datagram_socket> mSocket;
--- a/Tests/Gateway/BeliefTest.cpp
+++ b/Tests/Gateway/BeliefTest.cpp
@@ -224,11 +224,11 @@
       beat.mBoot = i;
       peers.back()->Send(EncodeNews(beat, w.mLoop.Now()), w.mSettings.mPeers);
     }
-    const gateway_board& board = w.mGateway->Board();
+    const gateway_state& board = w.mGateway->Board();
     w.Until(
       [&board]() {
-        return board.mPeers.size() == kPeers && !board.mRingStale &&
-               board.mRing.mEngines.size() > kEngines;
+        return board.mPeers.size() == kPeers && !board.mSubsetRingStale &&
+               board.mSubsetRing.mEngines.size() > kEngines;
       },
       "all peers and engines");
     (void)w.Ask(w.Request("r1", "stream", "Token-Usage: 3000,50\r\n"));
@@ -236,10 +236,11 @@
             "the placement");
     const engine_key engine =
       board.mLedger.mPlacements.begin()->second.mEngines.front();
-    CPPUNIT_ASSERT(Prefers(board.mRing, w.mSettings.mPeers.mHost, engine));
+    CPPUNIT_ASSERT(
+      Prefers(board.mSubsetRing, w.mSettings.mPeers.mHost, engine));
     std::size_t concerned = 0;
     for (const auto& [host, placements] : heard) {
-      concerned += Prefers(board.mRing, host, engine) ? 1U : 0U;
+      concerned += Prefers(board.mSubsetRing, host, engine) ? 1U : 0U;
     }
     CPPUNIT_ASSERT(concerned > kPeers / 3 && concerned < kPeers);
     w.Until(
@@ -252,7 +253,8 @@
       },
       "the news at as many peers as it concerns");
     for (const auto& [host, placements] : heard) {
-      const std::size_t expected = Prefers(board.mRing, host, engine) ? 1 : 0;
+      const std::size_t expected =
+        Prefers(board.mSubsetRing, host, engine) ? 1 : 0;
       CPPUNIT_ASSERT_EQUAL(expected, placements);
     }
   }
@@ -283,7 +285,7 @@
   /// the fixed part. Cause: an entry that knows nobody took itself for alone.
   void LoneEntrySpendsLittleOfTheBudget()
   {
-    gateway_board board;
+    gateway_state board;
     const repeat_bound bound{ 0, 130, std::chrono::seconds(10) };
     constexpr std::size_t kEntries = 27;
     repeat_record record;
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -197,7 +197,7 @@
     entries.mSecond = SecondEntry(entries.mWorld, kNoStore);
     entries.mWorld.Until(
       [&entries]() {
-        const gateway_board& board = entries.mSecond->Board();
+        const gateway_state& board = entries.mSecond->Board();
         return board.mManifest != nullptr && board.mEndpointsKnown &&
                !board.mQuarantine.mHeld.empty();
       },
@@ -252,8 +252,8 @@
     }
 
     gateway_adapter mAdapter = platform::Adapter();
-    gateway_board mBoard;
-    endpoint_connections mConnections;
+    gateway_state mBoard;
+    endpoint_connection_pool mConnections;
     news_outbox mOutbox;
     crash_watch mWatch;
   };
@@ -461,8 +461,8 @@
       },
       "the endpoint that has started");
     entries.mWorld.For(kTimeToHear);
-    const gateway_board& one = entries.mWorld.mGateway->Board();
-    const gateway_board& other = entries.mSecond->Board();
+    const gateway_state& one = entries.mWorld.mGateway->Board();
+    const gateway_state& other = entries.mSecond->Board();
     // Held by the entry that had not answered it, until the other said so.
     entries.mWorld.Until(
       [&one, &other]() {
--- a/Tests/Gateway/ForwardingTest.cpp
+++ b/Tests/Gateway/ForwardingTest.cpp
@@ -152,9 +152,9 @@
 
   /// An endpoint that answers as soon as it has a request's head, and reads on
   /// when it is told to.
-  struct hasty_endpoint final : channel_owner
+  struct early_answering_endpoint final : channel_owner
   {
-    explicit hasty_endpoint(event_loop& aLoop)
+    explicit early_answering_endpoint(event_loop& aLoop)
       : mLoop(aLoop)
     {
       outcome<std::unique_ptr<tcp_listener>> opened =
@@ -205,7 +205,7 @@
   void EarlyAnswerLeavesTheRestOfTheBodyInPlace()
   {
     world w;
-    hasty_endpoint hasty(w.mLoop);
+    early_answering_endpoint hasty(w.mLoop);
     w.mStore.Remove("servers", "i-desk");
     w.List("i-hasty", "desk", { "127.0.0.1", hasty.mListener->Port() });
     w.Start();
--- a/Tests/Unit/NewsTest.cpp
+++ b/Tests/Unit/NewsTest.cpp
@@ -117,7 +117,7 @@
   /// The ring of a fleet, the peers of its first entry, and what that prefers.
   struct sized_fleet
   {
-    subset_ring mRing;
+    subset_ring mSubsetRing;
     std::vector<std::string> mPeers;
     std::vector<engine_key> mPreferred;
   };
@@ -127,9 +127,9 @@
     std::vector<std::string> hosts = test::Hosts(aEntries);
     const endpoint_board board = test::Engines(aEngines);
     sized_fleet fleet;
-    fleet.mRing = test::Ring(hosts, board);
+    fleet.mSubsetRing = test::Ring(hosts, board);
     for (const std::string& id :
-         test::PreferredBy(fleet.mRing, hosts.front(), board)) {
+         test::PreferredBy(fleet.mSubsetRing, hosts.front(), board)) {
       fleet.mPreferred.push_back(EngineKey(id));
     }
     hosts.erase(hosts.begin());
@@ -166,7 +166,8 @@
     peer_message end = EmptyMessage();
     end.mNews.mEnded = { placed.mKey };
     const std::size_t concerned =
-      HostsThatPrefer(aFleet.mRing, aFleet.mPeers, placed.mEngines).size();
+      HostsThatPrefer(aFleet.mSubsetRing, aFleet.mPeers, placed.mEngines)
+        .size();
     std::size_t sent = 0;
     for (const peer_message& one : { news, end }) {
       const std::size_t bytes = EncodeNews(one, aNow).size();
