--- a/Libraries/LibGateway/Adapter.h
+++ b/Libraries/LibGateway/Adapter.h
@@ -1,77 +1,78 @@
 #pragma once
 
-/// What a deployment has to translate so that the gateway can run in it: the
-/// fields of requests and answers, the calls and rows of the platform's tables.
-/// An adapter holds no state and decides nothing.
+/// Translation between the gateway and the deployment that it runs in: the
+/// header fields of requests and answers, and the calls and rows of the
+/// platform's tables. An adapter is stateless and makes no decisions.
 
 #include "LibFleet/LibFleet.h"
 #include "LibNet/LibNet.h"
 
 namespace primrose {
 
-/// What a caller's request says of itself.
+/// What the gateway reads from the head of a caller's request.
 struct request_info
 {
   std::string mId;
   std::string mHost;
   std::optional<std::string> mKey;
-  std::optional<duration> mTimeLeft; ///< That the caller will wait.
+  std::optional<duration> mTimeLeft; ///< How long the caller will wait.
   double mPromptTokens = 0;
   double mMaxAnswerTokens = 0;
-  std::optional<std::uint64_t> mLastEvent; ///< The stream goes on after it.
+  /// The last event that the caller has received; the stream resumes after it.
+  std::optional<std::uint64_t> mLastEvent;
 
   bool operator==(const request_info&) const = default;
 };
 
-/// An engine that reads a part of a prompt for another.
+/// An engine that prefills a part of a prompt for another engine.
 struct prefill_helper
 {
   ip_address mAddress;
-  std::string mReservation; ///< Memory set aside there; empty if none.
+  std::string mReservation; ///< Of memory on that engine; empty: none.
 
   bool operator==(const prefill_helper&) const = default;
 };
 
-/// What the gateway adds to a request for one endpoint.
+/// What the gateway adds to a request that it forwards to an endpoint.
 struct forwarding_info
 {
-  std::string mEndpointId; ///< Only this endpoint may run it.
+  std::string mEndpointId; ///< Other endpoints refuse the request.
   ip_address mAddress;
   duration mTimeLeft{};
-  std::string mOrganisation; ///< Empty if the route asks for no key.
+  std::string mOrganisation; ///< Empty if the route requires no key.
   std::vector<prefill_helper> mHelpers;
   std::optional<std::uint64_t> mLastEvent;
 
   bool operator==(const forwarding_info&) const = default;
 };
 
-/// What an endpoint's answer says of itself.
+/// What the gateway reads from the head of an endpoint's answer.
 struct answer_info
 {
   std::string mRequestId;
-  bool mProven = false;         ///< It bears the endpoint's proof.
-  bool mNotRun = false;         ///< The endpoint promises not to have run it.
-  bool mWrongEndpoint = false;  ///< Another endpoint has this address now.
-  bool mContentEncoded = false; ///< The body is not as the endpoint made it.
+  bool mProven = false; ///< Carries the endpoint's seal.
+  bool mNotRun = false; ///< The endpoint states that it did not execute it.
+  bool mWrongEndpoint = false;  ///< Another endpoint has the address now.
+  bool mContentEncoded = false; ///< An intermediary encoded the body.
   std::optional<duration> mIdleTimeout; ///< Of the connection.
-  /// Requests that the endpoint works on and that wait there, as it says.
+  /// Requests that the endpoint reports to be in progress or queued.
   std::optional<unsigned> mReportedRequests;
-  /// Requests per second that the endpoint accepts from all entries together.
+  /// Requests per second that the endpoint accepts from all gateways together.
   std::optional<double> mLimitPerSecond;
-  std::string
-    mFaultyHelperAddress; ///< A helper that was the cause of a refusal.
+  std::string mFaultyHelperAddress; ///< The helper that caused a refusal.
 
   bool operator==(const answer_info&) const = default;
 };
 
-/// Sets memory of an engine aside for one request, renews that, or ends it.
+/// Creates, renews or releases a reservation of an engine's memory for one
+/// request.
 struct reservation_command
 {
-  std::string mEndpointId; ///< Only this endpoint may take it.
+  std::string mEndpointId; ///< Other endpoints refuse the command.
   std::string mReservation;
   bool mRelease = false;
-  double mTokens = 0; ///< To set aside.
-  duration mLease{};  ///< The engine frees it by itself after this.
+  double mTokens = 0; ///< To reserve.
+  duration mLease{};  ///< The engine frees the memory after this time.
 
   bool operator==(const reservation_command&) const = default;
 };
@@ -79,19 +80,19 @@
 enum class reservation_outcome : std::uint8_t
 {
   Done,
-  Refused,  ///< The engine did nothing.
-  NoAnswer, ///< It may have been done, or may be done later.
+  Refused,  ///< The engine changed nothing.
+  NoAnswer, ///< The command may be carried out, now or later.
 };
 
-/// A reading of a table of the platform.
+/// The result of reading a table of the platform.
 struct table_read_result
 {
   enum class outcome : std::uint8_t
   {
     Good,
-    HistoryLost, ///< Changes since the asked revision are not known any more.
-    Refused,     ///< The platform did nothing.
-    NoAnswer,    ///< Nothing, or no proper answer.
+    HistoryLost, ///< The store no longer has the requested changes.
+    Refused,     ///< The platform refused the call.
+    NoAnswer,    ///< No answer or an invalid one.
   };
   outcome mOutcome = outcome::NoAnswer;
   std::vector<row_change<std::string>> mRows;
@@ -101,13 +102,13 @@
   bool operator==(const table_read_result&) const = default;
 };
 
-/// What came of a change of rows.
+/// The result of writing or removing rows.
 enum class write_outcome : std::uint8_t
 {
   Done,
-  Exists,   ///< A row that was to be new was there; nothing was changed.
-  Refused,  ///< The platform did nothing.
-  NoAnswer, ///< It may have been done, or may be done later.
+  Exists,   ///< The row to insert exists; nothing was changed.
+  Refused,  ///< The platform changed nothing.
+  NoAnswer, ///< The write may be carried out, now or later.
 };
 
 struct gateway_adapter
@@ -115,16 +116,16 @@
   std::string mManifestTable;
   std::string mManifestKey;
   std::string mEndpointTable;
-  std::string mEntryTable; ///< Where entries leave their addresses.
+  std::string mEntryTable; ///< Addresses of all gateways.
   std::string mQuarantineTable;
 
   result<request_info> (*mReadRequest)(const http_head&) = nullptr;
-  /// The whole head for an endpoint.
+  /// Returns the complete head of a request to an endpoint.
   std::string (*mWriteRequest)(const http_head&,
                                const forwarding_info&,
                                std::size_t aBodyBytes) = nullptr;
   answer_info (*mReadAnswer)(const http_head&) = nullptr;
-  /// A final answer of the gateway's own.
+  /// Returns a complete error answer of the gateway itself.
   std::string (*mWriteFailure)(const failure&,
                                std::string_view aRequestId,
                                bool aKeepAlive) = nullptr;
@@ -140,7 +141,7 @@
   http_call (*mWriteRow)(std::string_view aTable,
                          std::string_view aKey,
                          std::string_view aValue) = nullptr;
-  /// Writes a row only if there is none of the key.
+  /// Inserts a row; fails if a row with this key exists.
   http_call (*mInsertRow)(std::string_view aTable,
                           std::string_view aKey,
                           std::string_view aValue) = nullptr;
--- a/Libraries/LibGateway/Attempt.cpp
+++ b/Libraries/LibGateway/Attempt.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// For an endpoint that names no timeout for idle connections.
-constexpr duration kUsualIdleTimeout = std::chrono::seconds(4);
+/// Idle timeout of an endpoint that does not declare one.
+constexpr duration kDefaultIdleTimeout = std::chrono::seconds(4);
 
-/// A body of this size comes with its head, in one reading of the endpoint's.
-constexpr std::size_t kReadAtOnce = std::size_t{ 16 } * 1024;
+/// A body up to this size reaches the endpoint in the same read as its head.
+constexpr std::size_t kMaxSingleReadBody = std::size_t{ 16 } * 1024;
 constexpr unsigned kFirstRedirect = 300;
 
 } // namespace
@@ -35,11 +35,11 @@
 }
 
 void
-attempt::Send(std::string aHead, const std::string& aBody, bool aFresh)
+attempt::Send(std::string aHead, const std::string& aBody, bool aNewConnection)
 {
   mSentAt = mLoop.Now();
   mBodyBytes = aBody.size();
-  mChannel = aFresh ? nullptr : mConnections.TakeIdle(mEndpoint.mId);
+  mChannel = aNewConnection ? nullptr : mConnections.TakeIdle(mEndpoint.mId);
   mReusedConnection = mChannel != nullptr;
   if (!mReusedConnection) {
     mChannel = mConnections.Connect(mEndpoint.mAddress);
@@ -101,18 +101,20 @@
 attempt::AcceptHead()
 {
   mHeadAccepted = true;
-  mFacts = mAdapter.mReadAnswer(mReader.Head());
-  if (mFacts.mRequestId != mRequestId && !mFacts.mWrongEndpoint) {
-    // The answer to somebody else's request, which came late.
-    End(attempt_end::Broken, "foreign_answer");
+  mAnswerInfo = mAdapter.mReadAnswer(mReader.Head());
+  if (mAnswerInfo.mRequestId != mRequestId && !mAnswerInfo.mWrongEndpoint) {
+    // The late answer to another request.
+    End(attempt_end::InvalidAnswer, "foreign_answer");
     return false;
   }
-  if (mFacts.mWrongEndpoint || mFacts.mNotRun) {
-    End(attempt_end::NotRun, mFacts.mWrongEndpoint ? "elsewhere" : "refused");
+  if (mAnswerInfo.mWrongEndpoint || mAnswerInfo.mNotRun) {
+    End(attempt_end::NotExecuted,
+        mAnswerInfo.mWrongEndpoint ? "elsewhere" : "refused");
     return false;
   }
-  if (!mFacts.mProven || mFacts.mContentEncoded) {
-    End(attempt_end::Broken, mFacts.mContentEncoded ? "encoded" : "unproven");
+  if (!mAnswerInfo.mProven || mAnswerInfo.mContentEncoded) {
+    End(attempt_end::InvalidAnswer,
+        mAnswerInfo.mContentEncoded ? "encoded" : "unproven");
     return false;
   }
   mOwner->OnAnswerHead(*this);
@@ -127,7 +129,7 @@
     return;
   }
   if (state != read_state::Body && state != read_state::Complete) {
-    End(attempt_end::Broken, "malformed_answer");
+    End(attempt_end::InvalidAnswer, "malformed_answer");
     return;
   }
   if (!mHeadAccepted && !AcceptHead()) {
@@ -145,24 +147,28 @@
 bool
 attempt::AnsweredEarly() const
 {
-  // An endpoint that refuses a long request may say so before it has read it
-  // and read on later, or never: the next request would wait behind the rest.
-  // How much it has read is not to be seen, since the system buffers megabytes.
+  // An endpoint that refuses a long request may answer before it has read the
+  // whole body and read the rest later, or never. A request sent on the same
+  // connection would wait behind the rest. How much the endpoint has read
+  // cannot be observed, because the system buffers megabytes.
   const bool refused = mReader.Head().mStatus >= kFirstRedirect;
-  return mChannel->Pending() > 0 || (refused && mBodyBytes > kReadAtOnce);
+  return mChannel->Pending() > 0 ||
+         (refused && mBodyBytes > kMaxSingleReadBody);
 }
 
 void
 attempt::Complete()
 {
-  // Bytes behind the answer belong to no request: such a connection is not
-  // used again, or the next request would be given them.
+  // Bytes after the answer belong to no request. A connection that has such
+  // bytes is not reused, because the next request would receive them as its
+  // answer.
   if (mChannel->Open() && mReader.Head().mKeepAlive &&
       mChannel->Input().empty() && !AnsweredEarly() &&
       !mReader.EndsWithConnection()) {
-    mConnections.Keep(mEndpoint.mId,
-                      std::move(mChannel),
-                      mFacts.mIdleTimeout.value_or(kUsualIdleTimeout));
+    mConnections.PutIdle(
+      mEndpoint.mId,
+      std::move(mChannel),
+      mAnswerInfo.mIdleTimeout.value_or(kDefaultIdleTimeout));
     mChannel = nullptr;
   } else {
     DropChannel();
@@ -187,7 +193,7 @@
     return;
   }
   const bool nothingCame = !mReader.Started();
-  End(mReusedConnection && nothingCame ? attempt_end::Stale
+  End(mReusedConnection && nothingCame ? attempt_end::StaleConnection
                                        : attempt_end::ConnectionLost,
       aEnd == channel_end::Reset ? "reset" : "closed");
 }
--- a/Libraries/LibGateway/Attempt.h
+++ b/Libraries/LibGateway/Attempt.h
@@ -1,20 +1,21 @@
 #pragma once
 
-/// One sending of a request to one endpoint, until its answer has ended.
+/// One attempt to have a request answered by one endpoint, from sending it to
+/// the end of the answer.
 
 #include "LibGateway/EndpointConnections.h"
 
 namespace primrose {
 
-/// What an attempt tells the exchange that it belongs to.
+/// How an attempt ended without a complete answer.
 enum class attempt_end : std::uint8_t
 {
-  NotConnected,   ///< No connection: the endpoint saw nothing.
-  NotRun,         ///< The endpoint promises not to have run it.
-  Stale,          ///< A kept connection was closed before any byte came back.
-  ConnectionLost, ///< The connection ended before the answer did. It may have
-                  ///< run.
-  Broken,         ///< What came was no answer to it. It may have run.
+  NotConnected,    ///< Nothing reached the endpoint.
+  NotExecuted,     ///< The endpoint states that it did not execute it.
+  StaleConnection, ///< A reused connection closed before any byte came.
+  ConnectionLost,  ///< The connection ended before the answer did. May have
+                   ///< been executed.
+  InvalidAnswer,   ///< The bytes were no valid answer. May have been executed.
 };
 
 class attempt;
@@ -23,11 +24,11 @@
 {
 public:
   virtual ~attempt_owner() = default;
-  /// The head of a proper answer is there.
+  /// The head of a valid answer has arrived.
   virtual void OnAnswerHead(attempt& aAttempt) = 0;
-  /// More of the body stands in `Body()`.
+  /// More of the answer's body has arrived in `Body()`.
   virtual void OnAnswerBody(attempt& aAttempt) = 0;
-  /// The answer is whole.
+  /// The answer is complete.
   virtual void OnAnswerEnd(attempt& aAttempt) = 0;
   virtual void OnAttemptEnd(attempt& aAttempt,
                             attempt_end aEnd,
@@ -47,21 +48,23 @@
   attempt(const attempt&) = delete;
   attempt& operator=(const attempt&) = delete;
 
-  /// Sends; `aFresh` asks for a connection of its own, which no idle timeout
-  /// of the endpoint can close at the same moment.
-  void Send(std::string aHead, const std::string& aBody, bool aFresh);
-  /// Ends the attempt without a word; the endpoint sees its connection close.
+  /// Sends the request. `aNewConnection` forbids the use of an idle connection,
+  /// which the endpoint could close at the same moment because of its idle
+  /// timeout.
+  void Send(std::string aHead, const std::string& aBody, bool aNewConnection);
+  /// Ends the attempt and closes its connection without a call of the owner.
   void Cancel();
   void PauseReading(bool aPaused);
 
   const endpoint& Endpoint() const { return mEndpoint; }
   const http_head& Head() const { return mReader.Head(); }
-  const answer_info& Facts() const { return mFacts; }
+  const answer_info& Info() const { return mAnswerInfo; }
   std::string& Body() { return mReader.Body(); }
-  bool Sent() const { return mSent; }
-  /// A process that is there would have taken the connection.
+  bool WasSent() const { return mSent; }
+  /// True if the endpoint's machine refused the connection, which a running
+  /// endpoint would have accepted.
   bool ConnectionRefused() const { return mConnectionRefused; }
-  /// The head of a proper answer has come.
+  /// True once the head of a valid answer has arrived.
   bool AnswerStarted() const { return mHeadAccepted; }
   time_point SentAt() const { return mSentAt; }
 
@@ -84,8 +87,8 @@
   std::string mRequestId;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
-  answer_info mFacts;
-  bool mReusedConnection = false; ///< The connection had served before.
+  answer_info mAnswerInfo;
+  bool mReusedConnection = false; ///< The connection served a request before.
   bool mSent = false;
   bool mHeadAccepted = false;
   bool mConnectionRefused = false;
--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -4,23 +4,25 @@
 
 namespace {
 
-/// Before a manifest is known: what a caller may send, and how long it may
-/// take. A manifest's own limits replace them.
-constexpr http_limits kUsualLimits{ std::size_t{ 16 } * 1024,
-                                    std::size_t{ 4 } * 1024 * 1024 };
-constexpr duration kUsualIdle = std::chrono::seconds(15);
-constexpr duration kUsualHeadTime = std::chrono::seconds(3);
-/// Bytes of a next request that are taken while one is being answered.
-constexpr std::size_t kMostAhead = std::size_t{ 64 } * 1024;
-/// A caller's machine that is gone shows only through probes.
-constexpr channel_limits kLimits{ std::chrono::seconds(5),
-                                  std::chrono::seconds(5) };
+/// Defaults until a manifest is known: the size limits of a request and the
+/// idle timeout. A manifest's own limits replace them.
+constexpr http_limits kDefaultLimits{ std::size_t{ 16 } * 1024,
+                                      std::size_t{ 4 } * 1024 * 1024 };
+constexpr duration kDefaultIdleTimeout = std::chrono::seconds(15);
+/// Time in which a caller has to send a request that it has started.
+constexpr duration kRequestReadTimeout = std::chrono::seconds(3);
+/// Bytes of pipelined requests to buffer while a request is in progress.
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{ 64 } * 1024;
+/// A caller's machine that has disappeared is detected only by TCP keep-alive
+/// probes.
+constexpr channel_limits kCallerChannelLimits{ std::chrono::seconds(5),
+                                               std::chrono::seconds(5) };
 
 http_limits
 LimitsOf(const manifest_pointer& aManifest)
 {
   if (aManifest == nullptr || aManifest->Manifest().mLimits.mHeadBytes == 0) {
-    return kUsualLimits;
+    return kDefaultLimits;
   }
   const caller_limits& limits = aManifest->Manifest().mLimits;
   return { limits.mHeadBytes, limits.mBodyBytes };
@@ -33,7 +35,9 @@
                                      closed aClosed)
   : mContext(aContext)
   , mClosed(std::move(aClosed))
-  , mChannel(std::make_shared<tcp_channel>(aContext.mLoop, aSocket, kLimits))
+  , mChannel(std::make_shared<tcp_channel>(aContext.mLoop,
+                                           aSocket,
+                                           kCallerChannelLimits))
   , mReader(http_role::Request, LimitsOf(aContext.mBoard.mManifest))
 {
   mChannel->SetOwner(this);
@@ -52,7 +56,7 @@
   const manifest_pointer& held = mContext.mBoard.mManifest;
   const duration idle =
     held == nullptr || held->Manifest().mLimits.mIdleTimeout == duration{}
-      ? kUsualIdle
+      ? kDefaultIdleTimeout
       : held->Manifest().mLimits.mIdleTimeout;
   mTimer = mContext.mLoop.After(idle, [this]() {
     mTimer = 0;
@@ -72,7 +76,7 @@
 caller_connection::OnInput(tcp_channel&)
 {
   if (Busy()) {
-    if (mChannel->Input().size() > kMostAhead) {
+    if (mChannel->Input().size() > kMaxPipelinedBytes) {
       mChannel->PauseReading(true);
     }
     return;
@@ -89,10 +93,10 @@
     case read_state::Head:
     case read_state::Body:
       if (!started && mReader.Started()) {
-        // A caller that begins a request and does not go on would hold its
-        // connection and its memory for ever.
+        // Without this timer, a caller that sends a part of a request and stops
+        // would hold its connection and memory forever.
         mContext.mLoop.Cancel(mTimer);
-        mTimer = mContext.mLoop.After(kUsualHeadTime, [this]() {
+        mTimer = mContext.mLoop.After(kRequestReadTimeout, [this]() {
           mTimer = 0;
           Reject(error_kind::BadTimeLimit, "request not whole in time");
         });
@@ -157,8 +161,8 @@
   mChannel->PauseReading(false);
   StartIdleTimer();
   if (!mChannel->Input().empty()) {
-    // The next request came ahead; it begins in a turn of its own, so that
-    // requests that come ahead do not nest.
+    // The next request was pipelined. It starts in an event loop turn of its
+    // own, so that pipelined requests do not recurse.
     mContext.mLoop.Cancel(mTimer);
     mTimer = mContext.mLoop.After(duration::zero(), [this]() {
       mTimer = 0;
@@ -169,7 +173,7 @@
 }
 
 void
-caller_connection::Cut()
+caller_connection::Abort()
 {
   mContext.mLoop.DeleteLater(std::move(mExchange));
   mExchange = nullptr;
@@ -204,7 +208,7 @@
     mChannel->SetOwner(nullptr);
     mChannel->CloseWhenDrained();
     if (mChannel->Open()) {
-      // Kept until the system has taken the answer, but not for ever.
+      // Keep the channel until the system has taken the answer, up to a limit.
       constexpr duration kDrainTime = std::chrono::seconds(5);
       std::shared_ptr<tcp_channel> draining = mChannel;
       event_loop& loop = mContext.mLoop;
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One connection of a caller: reads requests one after another and carries
-/// each answer back.
+/// One connection of a caller: parses its requests one after another and writes
+/// the answers.
 
 #include "LibGateway/Exchange.h"
 
@@ -22,7 +22,7 @@
   caller_connection& operator=(const caller_connection&) = delete;
 
   bool Busy() const { return mExchange != nullptr; }
-  /// Closes the connection if no request is waiting on it.
+  /// Closes the connection unless a request is in progress or partly read.
   void CloseIfIdle();
 
   void OnInput(tcp_channel& aChannel) override;
@@ -32,7 +32,7 @@
   void Write(std::string_view aBytes) override;
   std::size_t Pending() const override;
   void Finish(bool aKeepAlive) override;
-  void Cut() override;
+  void Abort() override;
 
 private:
   void Read();
--- a/Libraries/LibGateway/EndpointConnections.cpp
+++ b/Libraries/LibGateway/EndpointConnections.cpp
@@ -7,25 +7,26 @@
 
 namespace {
 
-/// Written bytes without an acknowledgement for this long: the endpoint's
-/// machine is gone or cut off. Ten round trips of the farthest data centre.
+/// Time without an acknowledgement of written bytes after which the endpoint's
+/// machine counts as unreachable: ten round trips to the farthest data centre.
 constexpr channel_limits kLimits{ std::chrono::milliseconds(900),
                                   std::chrono::seconds(1) };
-/// An endpoint closes an idle connection at its own timeout; one that is used
-/// at that very moment is reset, so it is given up this much earlier.
-constexpr duration kSafetyBeforeTimeout = std::chrono::milliseconds(1000);
-
-/// Part of an endpoint's connections that entries keep idle, together; the rest
-/// is for requests in progress. With 350 entries before an endpoint that takes
-/// 364 connections none is kept.
+/// An endpoint closes an idle connection at its own timeout and resets a
+/// request sent at that moment, so the gateway closes the connection this much
+/// earlier.
+constexpr duration kCloseBeforeTimeout = std::chrono::milliseconds(1000);
+
+/// Fraction of an endpoint's connections that all gateways together may keep
+/// idle; the rest is for requests in progress. With 350 gateways and an
+/// endpoint that accepts 364 connections, no connection is kept idle.
 constexpr double kIdleShare = 0.5;
 
 } // namespace
 
 endpoint_connection_pool::endpoint_connection_pool(event_loop& aLoop,
-                                                   const gateway_state& aBoard)
+                                                   const gateway_state& aState)
   : mLoop(aLoop)
-  , mBoard(aBoard)
+  , mBoard(aState)
 {
 }
 
@@ -40,10 +41,11 @@
   }
   const time_point now = mLoop.Now();
   while (!found->second.empty()) {
-    // The newest: the others may grow old and be closed.
-    kept taken = std::move(found->second.back());
+    // Take the newest, so that the older ones reach their timeout and are
+    // closed.
+    idle_connection taken = std::move(found->second.back());
     found->second.pop_back();
-    if (taken.mChannel->Open() && taken.mUntil > now &&
+    if (taken.mChannel->Open() && taken.mExpires > now &&
         taken.mChannel->Input().empty()) {
       taken.mChannel->SetOwner(nullptr);
       return taken.mChannel;
@@ -78,26 +80,26 @@
 }
 
 void
-endpoint_connection_pool::Keep(const std::string& aId,
-                               std::shared_ptr<tcp_channel> aChannel,
-                               duration aIdleTimeout)
+endpoint_connection_pool::PutIdle(const std::string& aId,
+                                  std::shared_ptr<tcp_channel> aChannel,
+                                  duration aIdleTimeout)
 {
-  const std::size_t most = MaxIdleConnections(aId);
-  if (aIdleTimeout <= kSafetyBeforeTimeout || most == 0) {
+  const std::size_t maxIdle = MaxIdleConnections(aId);
+  if (aIdleTimeout <= kCloseBeforeTimeout || maxIdle == 0) {
     aChannel->Close();
     mLoop.DeleteLater(std::move(aChannel));
     return;
   }
-  std::deque<kept>& idle = mIdle[aId];
-  if (idle.size() >= most) {
-    // The oldest is the first to be closed by the endpoint anyway.
+  std::deque<idle_connection>& idle = mIdle[aId];
+  if (idle.size() >= maxIdle) {
+    // The oldest is the first that the endpoint would close anyway.
     idle.front().mChannel->Close();
     mLoop.DeleteLater(std::move(idle.front().mChannel));
     idle.pop_front();
   }
   aChannel->SetOwner(this);
   idle.push_back(
-    { std::move(aChannel), mLoop.Now() + aIdleTimeout - kSafetyBeforeTimeout });
+    { std::move(aChannel), mLoop.Now() + aIdleTimeout - kCloseBeforeTimeout });
 }
 
 void
@@ -107,7 +109,7 @@
   if (found == mIdle.end()) {
     return;
   }
-  for (kept& one : found->second) {
+  for (idle_connection& one : found->second) {
     one.mChannel->Close();
     mLoop.DeleteLater(std::move(one.mChannel));
   }
@@ -119,7 +121,7 @@
 {
   const time_point now = mLoop.Now();
   for (auto& [id, channels] : mIdle) {
-    while (!channels.empty() && channels.front().mUntil <= now) {
+    while (!channels.empty() && channels.front().mExpires <= now) {
       channels.front().mChannel->Close();
       mLoop.DeleteLater(std::move(channels.front().mChannel));
       channels.pop_front();
@@ -130,13 +132,15 @@
 }
 
 void
-endpoint_connection_pool::Drop(const tcp_channel& aChannel)
+endpoint_connection_pool::CloseAndRemove(const tcp_channel& aChannel)
 {
   for (auto& [id, channels] : mIdle) {
-    const auto found = std::find_if(
-      channels.begin(), channels.end(), [&aChannel](const kept& aKept) {
-        return aKept.mChannel.get() == &aChannel;
-      });
+    const auto found =
+      std::find_if(channels.begin(),
+                   channels.end(),
+                   [&aChannel](const idle_connection& aConnection) {
+                     return aConnection.mChannel.get() == &aChannel;
+                   });
     if (found != channels.end()) {
       found->mChannel->Close();
       mLoop.DeleteLater(std::move(found->mChannel));
@@ -149,15 +153,15 @@
 void
 endpoint_connection_pool::OnInput(tcp_channel& aChannel)
 {
-  // A second answer to a request that was answered already: it belongs to
-  // nobody, and the next request on this connection must not be given it.
-  Drop(aChannel);
+  // Data on an idle connection is a second answer to a completed request.
+  // Reusing the connection would hand it to the next request.
+  CloseAndRemove(aChannel);
 }
 
 void
 endpoint_connection_pool::OnEnd(tcp_channel& aChannel, channel_end)
 {
-  Drop(aChannel);
+  CloseAndRemove(aChannel);
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-/// What the final answer needs to reach the caller in its time.
-constexpr duration kAnswerTime = std::chrono::milliseconds(15);
-/// For a route that declares none: above those of both deployments.
-constexpr duration kUsualTimeLimit = std::chrono::seconds(30);
-/// When a refused caller may come back, in seconds.
-constexpr double kRetryWhenListed = 0.3;
-constexpr double kRetryWhenKnown = 0.5;
-constexpr double kRetryElsewhere = 0.05;
+/// Reserved from the caller's time for delivering the final answer.
+constexpr duration kAnswerDeliveryTime = std::chrono::milliseconds(15);
+/// Time limit for a route that declares none. Longer than the limits of the
+/// routes in both deployments.
+constexpr duration kDefaultTimeLimit = std::chrono::seconds(30);
+/// Retry-After of refusals, in seconds: when no endpoint is available, before a
+/// manifest is known, and while draining.
+constexpr double kRetryAfterNoEndpoint = 0.3;
+constexpr double kRetryAfterNoManifest = 0.5;
+constexpr double kRetryAfterDraining = 0.05;
 
-/// Statuses that leave open whether a request ran.
+/// Statuses that leave open whether the request was executed.
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kGatewayTimeout = 504;
 
@@ -38,11 +40,11 @@
 } // namespace
 
 exchange::exchange(const gateway_context& aContext,
-                   response_writer& aPort,
+                   response_writer& aResponse,
                    http_head aHead,
                    std::string aBody)
   : mContext(aContext)
-  , mPort(&aPort)
+  , mResponse(&aResponse)
   , mHead(std::move(aHead))
   , mBody(std::move(aBody))
   , mManifest(aContext.mBoard.mManifest)
@@ -63,7 +65,7 @@
 }
 
 duration
-exchange::Left() const
+exchange::TimeLeft() const
 {
   return mDeadline - mContext.mLoop.Now();
 }
@@ -71,15 +73,15 @@
 void
 exchange::Start()
 {
-  mBegan = mContext.mLoop.Now();
+  mStarted = mContext.mLoop.Now();
   ++mContext.mBoard.mOpenRequests;
   if (!Admit()) {
     return;
   }
   NoteRequest(mContext.mBoard.mRepeats[mService->mName],
               mContext.mSettings.mRepeats,
-              mBegan);
-  mDeadlineTimer = mContext.mLoop.After(Left(), [this]() {
+              mStarted);
+  mDeadlineTimer = mContext.mLoop.After(TimeLeft(), [this]() {
     mDeadlineTimer = 0;
     OnDeadline();
   });
@@ -137,12 +139,13 @@
     Answer(read.mFailure);
     return false;
   }
-  mFacts = *read.mValue;
+  mRequestInfo = *read.mValue;
   if (mManifest == nullptr) {
-    Refuse(error_kind::StoreUnavailable, "no_manifest_yet", kRetryWhenKnown);
+    Refuse(
+      error_kind::StoreUnavailable, "no_manifest_yet", kRetryAfterNoManifest);
     return false;
   }
-  mRoute = mManifest->FindRoute(mFacts.mHost, mHead.mTarget);
+  mRoute = mManifest->FindRoute(mRequestInfo.mHost, mHead.mTarget);
   if (mRoute == nullptr || mRoute->mServices.empty()) {
     Answer({ error_kind::NotFound, "no route", ran_state::No, std::nullopt });
     return false;
@@ -150,7 +153,8 @@
   if (!Authenticate()) {
     return false;
   }
-  mDigest = DigestOf({ mFacts.mHost, mHead.mTarget, mOrganisation, mBody });
+  mDigest =
+    DigestOf({ mRequestInfo.mHost, mHead.mTarget, mOrganisation, mBody });
   mService = mManifest->FindService(
     ChooseService(*mRoute, Uniform(mContext.mBoard.mRandom)));
   if (mService == nullptr) {
@@ -158,13 +162,13 @@
     return false;
   }
   duration limit =
-    mRoute->mTimeout > duration::zero() ? mRoute->mTimeout : kUsualTimeLimit;
-  if (mFacts.mTimeLeft.has_value()) {
-    limit = std::min(limit, *mFacts.mTimeLeft - kAnswerTime);
+    mRoute->mTimeout > duration::zero() ? mRoute->mTimeout : kDefaultTimeLimit;
+  if (mRequestInfo.mTimeLeft.has_value()) {
+    limit = std::min(limit, *mRequestInfo.mTimeLeft - kAnswerDeliveryTime);
   }
-  mDeadline = mBegan + limit;
+  mDeadline = mStarted + limit;
   if (WouldExceedDrain(limit)) {
-    Refuse(error_kind::ShuttingDown, "draining", kRetryElsewhere);
+    Refuse(error_kind::ShuttingDown, "draining", kRetryAfterDraining);
     return false;
   }
   if (limit <= duration::zero()) {
@@ -178,16 +182,18 @@
 bool
 exchange::WouldExceedDrain(duration aLimit) const
 {
-  // What is cut at the end of the grace is lost to its caller; what is refused
-  // now is served elsewhere. Callers still come when no other entry of their
-  // data centre is in rotation, so short calls are taken to the end.
-  const gateway_state& board = mContext.mBoard;
-  if (!board.mDraining || mBegan - board.mDrainStarted < kBalancerRemovalTime) {
+  // A request that is cut off at the end of the drain period is lost to its
+  // caller, while one that is refused now is served by another gateway. Callers
+  // still arrive when no other gateway of their data centre is in rotation, so
+  // requests that are short enough are accepted until the end.
+  const gateway_state& shared = mContext.mBoard;
+  if (!shared.mDraining ||
+      mStarted - shared.mDrainStarted < kBalancerRemovalTime) {
     return false;
   }
   const time_point end =
-    board.mDrainStarted + mContext.mSettings.mGrace - kShutdownReserve;
-  return mRoute->mKind == call_kind::Stream || mBegan + aLimit > end;
+    shared.mDrainStarted + mContext.mSettings.mGrace - kShutdownReserve;
+  return mRoute->mKind == call_kind::Stream || mStarted + aLimit > end;
 }
 
 bool
@@ -197,7 +203,8 @@
     return true;
   }
   const organisation* const owner =
-    mFacts.mKey.has_value() ? mManifest->OwnerOfKey(*mFacts.mKey) : nullptr;
+    mRequestInfo.mKey.has_value() ? mManifest->OwnerOfKey(*mRequestInfo.mKey)
+                                  : nullptr;
   if (owner != nullptr) {
     mOrganisation = owner->mName;
     return true;
@@ -206,7 +213,7 @@
     return true;
   }
   Answer({ error_kind::Unauthenticated,
-           mFacts.mKey.has_value() ? "unknown key" : "no key",
+           mRequestInfo.mKey.has_value() ? "unknown key" : "no key",
            ran_state::No,
            std::nullopt });
   return false;
@@ -222,8 +229,9 @@
 void
 exchange::Dispatch()
 {
-  // It may have ended a third endpoint since it was sent last: here, or under
-  // another caller's try at another entry. A trial is one send.
+  // The request may have become quarantined since it was sent last, because it
+  // crashed another endpoint here or at another gateway. A quarantine trial is
+  // sent only once.
   const bool mayBeSent =
     mIsQuarantineTrial
       ? !mReachedEndpoint
@@ -243,7 +251,7 @@
 exchange::OnDeadline()
 {
   const std::shared_ptr<exchange> self = shared_from_this();
-  mMayHaveRun = mMayHaveRun || (mAttempt != nullptr && mAttempt->Sent());
+  mMayHaveRun = mMayHaveRun || (mAttempt != nullptr && mAttempt->WasSent());
   if (mAttempt != nullptr) {
     ReportUnfinishedAttempt(*mAttempt, false);
   }
@@ -258,7 +266,7 @@
 {
   GiveUp(aKind,
          aWhy,
-         aKind == error_kind::NoEndpoint ? kRetryWhenListed
+         aKind == error_kind::NoEndpoint ? kRetryAfterNoEndpoint
                                          : Seconds(kMinRetryAfter));
 }
 
@@ -266,18 +274,20 @@
 exchange::GiveUp(error_kind aKind, const std::string& aWhy, double aRetryAfter)
 {
   if (mHeadWritten) {
-    mPort->Cut();
-    mPort = nullptr;
+    mResponse->Abort();
+    mResponse = nullptr;
     End("cut", aWhy);
     return;
   }
   if (!mMayHaveRun) {
     const unsigned status = AnswerFor(aKind).mStatus;
-    const bool promises = status != kBadGateway && status != kGatewayTimeout;
-    Refuse(promises ? aKind : error_kind::Overloaded, aWhy, aRetryAfter);
+    const bool meansNotExecuted =
+      status != kBadGateway && status != kGatewayTimeout;
+    Refuse(
+      meansNotExecuted ? aKind : error_kind::Overloaded, aWhy, aRetryAfter);
     return;
   }
-  // It may have run: no answer that promises the opposite may be given.
+  // The request may have been executed, so the answer must not claim otherwise.
   const bool late = aKind == error_kind::DeadlineExceeded;
   Answer({ late ? aKind : error_kind::EndpointFailed,
            aWhy,
@@ -294,8 +304,8 @@
 void
 exchange::Answer(const failure& aFailure)
 {
-  mPort->Write(
-    mContext.mAdapter.mWriteFailure(aFailure, mFacts.mId, KeepAlive()));
+  mResponse->Write(
+    mContext.mAdapter.mWriteFailure(aFailure, mRequestInfo.mId, KeepAlive()));
   mContext.mBoard.mMetrics.Count(Labelled(
     "gateway_failures_total", "kind", AnswerFor(aFailure.mKind).mName));
   End(aFailure.mRan == ran_state::No ? "refused" : "failed",
@@ -306,7 +316,7 @@
 exchange::OnCallerDisconnected()
 {
   const std::shared_ptr<exchange> self = shared_from_this();
-  mPort = nullptr;
+  mResponse = nullptr;
   if (mAttempt != nullptr) {
     ReportUnfinishedAttempt(*mAttempt, false);
   }
@@ -329,10 +339,10 @@
   mContext.mBoard.mMetrics.Count(
     Labelled("gateway_requests_total", "outcome", aOutcome));
   mContext.mBoard.mMetrics.Observe("gateway_request_seconds",
-                                   Seconds(now - mBegan));
+                                   Seconds(now - mStarted));
   if (aOutcome == "answered" && mRoute->mKind == call_kind::Stream) {
     CountStream(mContext.mBoard.mMetrics,
-                { mFirstEventAt - mBegan,
+                { mFirstEventAt - mStarted,
                   Objective(),
                   mLongestPause,
                   mRoute->mLongestPause });
@@ -341,29 +351,31 @@
     aOutcome == "answered" || aOutcome == "caller_left" ? log_level::Info
                                                         : log_level::Warning,
     "request",
-    { { "request", mFacts.mId },
+    { { "request", mRequestInfo.mId },
       { "route", mRoute == nullptr ? "" : mRoute->mName },
       { "kind", mRoute == nullptr ? "" : KindName(mRoute->mKind) },
       { "organisation", mOrganisation },
       { "digest", DigestText(mDigest) },
       { "outcome", aOutcome },
       { "why", aWhy },
-      { "endpoint", mTried.empty() ? "" : mTried.back() },
-      { "sent_to", mTried.size() },
-      { "helpers", mHelpers },
-      { "prompt_tokens", mFacts.mPromptTokens },
+      { "endpoint",
+        mAttemptedEndpoints.empty() ? "" : mAttemptedEndpoints.back() },
+      { "sent_to", mAttemptedEndpoints.size() },
+      { "helpers", mHelperCount },
+      { "prompt_tokens", mRequestInfo.mPromptTokens },
       { "expected_ms", mExpectedFirstEventMs },
-      { "first_ms", mHeadWritten ? Milliseconds(mFirstEventAt - mBegan) : -1 },
+      { "first_ms",
+        mHeadWritten ? Milliseconds(mFirstEventAt - mStarted) : -1 },
       { "longest_pause_ms", Milliseconds(mLongestPause) },
       { "events", mCursor.Count() },
-      { "total_ms", Milliseconds(now - mBegan) },
+      { "total_ms", Milliseconds(now - mStarted) },
       { "manifest", mManifest == nullptr ? 0 : mManifest->Manifest().mVersion },
       { "manifest_age_ms",
         mManifest == nullptr
           ? -1
           : Milliseconds(now - mContext.mBoard.mManifestSince) } });
-  response_writer* const port = mPort;
-  mPort = nullptr;
+  response_writer* const port = mResponse;
+  mResponse = nullptr;
   if (port != nullptr) {
     port->Finish(KeepAlive());
   }
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -1,6 +1,8 @@
 #pragma once
 
-/// One request of a caller, from its whole reading to its final answer.
+/// Handles one request of a caller, from the complete request to the final
+/// answer: admission, choice of an endpoint, retries, and forwarding of the
+/// answer.
 
 #include "LibGateway/Attempt.h"
 #include "LibGateway/CrashWatch.h"
@@ -11,7 +13,7 @@
 
 namespace primrose {
 
-/// What exchanges share.
+/// Objects that all exchanges of a gateway share.
 struct gateway_context
 {
   event_loop& mLoop;
@@ -23,18 +25,20 @@
   crash_watch& mCrashes;
 };
 
-/// The caller's connection, as an exchange sees it.
+/// Writes the answer to the caller's connection.
 class response_writer
 {
 public:
   virtual ~response_writer() = default;
   virtual void Write(std::string_view aBytes) = 0;
   virtual std::size_t Pending() const = 0;
-  /// The answer is whole; the connection may take another request.
+  /// Ends a complete answer. With `aKeepAlive`, the connection accepts another
+  /// request.
   virtual void Finish(bool aKeepAlive) = 0;
-  /// The answer cannot be made whole: the connection is cut, so that what was
-  /// written does not look complete.
-  virtual void Cut() = 0;
+  /// Closes the connection in the middle of an answer that cannot be completed,
+  /// so that the caller does not take the part that was written for a complete
+  /// answer.
+  virtual void Abort() = 0;
 };
 
 class exchange final
@@ -43,7 +47,7 @@
 {
 public:
   exchange(const gateway_context& aContext,
-           response_writer& aPort,
+           response_writer& aResponse,
            http_head aHead,
            std::string aBody);
   ~exchange() override;
@@ -51,9 +55,10 @@
   exchange& operator=(const exchange&) = delete;
 
   void Start();
-  /// The caller closed its connection: nothing more is done for it.
+  /// Cancels all work for this request, because the caller closed its
+  /// connection.
   void OnCallerDisconnected();
-  /// The caller has taken what was written.
+  /// Resumes reading from the endpoint once the response buffer is empty.
   void OnResponseDrained();
 
   void OnAnswerHead(attempt& aAttempt) override;
@@ -71,45 +76,57 @@
   };
   bool Admit();
   bool Authenticate();
+  /// True if the gateway is draining and a request with this time limit may not
+  /// end before the drain period does.
   bool WouldExceedDrain(duration aLimit) const;
-  /// Refuses a request that ends endpoints, or finds out whether it may be
-  /// tried once more; else dispatches it.
+  /// Dispatches the request unless it is quarantined, that is, suspected of
+  /// crashing endpoints. Refuses a quarantined request, or claims its
+  /// quarantine trial where one is due.
   void DispatchUnlessQuarantined();
   void RefuseQuarantined();
   void Dispatch();
+  /// Chooses engines and sends, postpones or refuses the request; false if no
+  /// engine can be chosen.
   bool TrySendToEngines();
+  /// Chooses an endpoint of a service without engines and sends the request to
+  /// it; false if none can be chosen.
   bool TrySendToPlainEndpoint();
   engine_work DescribeEngineWork() const;
-  /// Within which the answer is in time; all of its time where the route
-  /// declares none, since 0 would make every answer late and every endpoint
-  /// silent.
+  /// The latency target of the route. A route without one gets the whole time
+  /// limit: a target of 0 would make every answer late and every endpoint
+  /// unresponsive.
   duration Objective() const;
-  /// Weighs the request again a moment later.
+  /// Evaluates the placement again after `kReweighInterval`.
   void PostponePlacement(const engine_choice& aChoice);
-  void TurnAway(const engine_choice& aChoice);
+  void RefuseOverloaded(const engine_choice& aChoice);
   void RecordPlacement(const engine_choice& aChoice, const engine_work& aWork);
   void ReserveMemory(const engine_choice& aChoice);
-  void SendToEngines(const endpoint& aWriter,
-                     const std::vector<endpoint>& aReaders,
-                     std::size_t aHolders);
+  /// Sends the prompt to the engine that decodes. The first `aReservedCount`
+  /// helpers have reserved memory for it.
+  void SendToEngines(const endpoint& aDecodeEngine,
+                     const std::vector<endpoint>& aHelpers,
+                     std::size_t aReservedCount);
   void StartAttempt(const endpoint& aEndpoint,
                     const std::vector<prefill_helper>& aHelpers);
   void StartResponseTimer(duration aLimit);
   void StartStallTimer(const attempt& aAttempt);
   void OnResponseTimeout();
   void LogResponseTimeout() const;
-  /// What is believed of the attempt's endpoint; null if it is off the list.
-  known_endpoint* Known(const attempt& aAttempt) const;
-  /// What the engine has been given; null if that is nothing.
+  /// The state of the attempt's endpoint; null if it is no longer listed.
+  known_endpoint* FindEndpoint(const attempt& aAttempt) const;
+  /// The work that is placed on the engine; null if there is none.
   const engine_load* FindEngineLoad(const attempt& aAttempt) const;
-  /// All of the engine's slots are taken, as far as is known, and something
-  /// came from it lately, for whichever of this entry's requests.
+  /// True if all slots of the engine are known to be taken and the endpoint
+  /// recently sent data for any request of this gateway.
   bool IsFullButResponsive(const attempt& aAttempt) const;
-  /// What the endpoint is known to have to read before it writes again.
+  /// Estimated time that the endpoint needs to finish its queued prefill before
+  /// it decodes again.
   duration PrefillBacklog(const attempt& aAttempt) const;
   void OnDeadline();
+  /// Takes one retry from the retry budget of the service; false if it is
+  /// spent.
   bool ConsumeRetryBudget();
-  /// True if the request may go to another endpoint and there is one.
+  /// True if the request may be retried and another endpoint is available.
   bool CanRetryElsewhere() const;
   bool IsRetryable() const;
   void Retry(const std::string& aWhy);
@@ -120,59 +137,66 @@
   void ForwardCompleteAnswer(attempt& aAttempt);
   void ForwardEvents(attempt& aAttempt);
   void WriteHead(const http_head& aHead, std::optional<std::size_t> aLength);
+  /// Ends the current attempt, its memory reservation and its placement.
   void ReleaseAttempt();
-  /// Tells the crash watch of an attempt that ends without a whole answer.
-  void ReportUnfinishedAttempt(const attempt& aAttempt, bool aBrokeOff);
+  /// Reports an attempt that ends without a complete answer to `mCrashes`,
+  /// which detects crashes. `aEndpointAtFault` is false where the caller left
+  /// or the deadline passed.
+  void ReportUnfinishedAttempt(const attempt& aAttempt, bool aEndpointAtFault);
   void RecordReportedLoad(const attempt& aAttempt);
-  /// Applies the endpoint's limit from an answer and tells it to other entries.
+  /// Applies the rate limit that the endpoint's answer reports and broadcasts
+  /// it to the peers.
   void ApplyReportedLimit(const attempt& aAttempt);
   /// Refuses a request for which no endpoint can be chosen.
   void RefuseUnplaced();
-  /// The endpoint works: something came from it.
+  /// Records that the endpoint responded just now.
   void RecordEndpointActivity(const attempt& aAttempt);
-  void Sign(const attempt& aAttempt, endpoint_sign aSign);
-  void Sign(known_endpoint& aEndpoint, endpoint_sign aSign);
-  /// The engine that a refusal names, if it is another than the one that sent
-  /// it: one that was to read a part of the prompt and would not.
+  void RecordHealthEvent(const attempt& aAttempt, endpoint_sign aSign);
+  void RecordHealthEvent(known_endpoint& aEndpoint, endpoint_sign aSign);
+  /// The helper that a refusal names: an engine that refused to prefill a part
+  /// of the prompt. Null if the refusal names no other engine than the one that
+  /// sent it.
   known_endpoint* FindRefusingHelper(const attempt& aAttempt);
   void RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy);
   void End(std::string_view aOutcome, const std::string& aWhy);
   bool KeepAlive() const;
-  duration Left() const;
+  duration TimeLeft() const;
 
   gateway_context mContext;
-  response_writer* mPort;
+  response_writer* mResponse;
   http_head mHead;
   std::string mBody;
-  request_info mFacts;
-  manifest_pointer mManifest; ///< As of admission; held for the route.
+  request_info mRequestInfo;
+  manifest_pointer mManifest; ///< As of admission; keeps `mRoute` valid.
   const route* mRoute = nullptr;
   const service* mService = nullptr;
   std::string mOrganisation;
   request_digest mDigest = 0;
-  time_point mBegan{};
+  time_point mStarted{};
   time_point mDeadline{};
   std::shared_ptr<attempt> mAttempt;
-  std::vector<std::string> mTried; ///< Endpoints that it was sent to.
-  std::vector<std::string> mExcludedEndpoints; ///< Tried or unreachable.
+  /// Endpoints that the request was sent to, in the order of the attempts.
+  std::vector<std::string> mAttemptedEndpoints;
+  /// Endpoints not to choose: attempted before, unreachable or refusing.
+  std::vector<std::string> mExcludedEndpoints;
   std::optional<placement_key> mPlacement;
   std::shared_ptr<memory_reservation> mMemory;
   std::size_t mMemoryRefusals = 0;
   std::size_t mHelperRefusals = 0;
-  double mExpectedFirstEventMs =
-    0; ///< Until the first event, by this entry's sums.
-  std::size_t mHelpers = 0;
-  bool mMayHaveRun = false; ///< An endpoint got it and promised nothing.
+  double mExpectedFirstEventMs = 0; ///< Estimated when the request was placed.
+  std::size_t mHelperCount = 0;
+  bool mMayHaveRun = false; ///< Sent, and not known to be refused.
   bool mNeedsNewConnection = false;
-  bool mWaited = false; ///< Not placed at once; see `PostponePlacement`.
-  bool mIsQuarantineTrial = false; ///< A held request that is tried once.
+  bool mPostponed = false;         ///< See `PostponePlacement`.
+  bool mIsQuarantineTrial = false; ///< Quarantined; sent only once.
   bool mReachedEndpoint = false;
   bool mStreaming = false;
-  bool mAttemptHasEvents = false; ///< The current endpoint has sent an event.
+  bool mAttemptHasEvents = false; ///< The current attempt has sent an event.
   bool mHeadWritten = false;
-  bool mPaused = false;
+  bool mReadingPaused = false;
   event_cursor mCursor;
-  std::optional<http_head> mStreamHead; ///< Of the first endpoint.
+  /// Head of the first attempt that streamed.
+  std::optional<http_head> mStreamHead;
   time_point mFirstEventAt{};
   time_point mLastEventAt{};
   duration mLongestPause{};
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// A caller that does not read may hold back this much of its stream before
-/// the endpoint is no longer read from.
-constexpr std::size_t kMostPending = std::size_t{ 256 } * 1024;
-/// Endpoints that could not be reached, for one request, before it is refused.
-constexpr std::size_t kMostUnreached = 4;
-/// Helpers that refused, for one request, before it is refused: with a third of
-/// the engines leaving unseen, five draws of twelve helpers find four of them.
-constexpr std::size_t kMostHelperRefusals = 5;
+/// Unsent bytes of a stream above which the gateway stops reading from the
+/// endpoint, because the caller reads too slowly.
+constexpr std::size_t kMaxPendingBytes = std::size_t{ 256 } * 1024;
+/// Failed connections to endpoints after which a request is refused.
+constexpr std::size_t kMaxConnectFailures = 4;
+/// Refusals by helpers after which a request is refused. With a third of the
+/// engines leaving without the gateway's knowledge, five selections of twelve
+/// helpers find four of those.
+constexpr std::size_t kMaxHelperRefusals = 5;
 
 constexpr unsigned kFirstError = 400;
 constexpr unsigned kFirstServerError = 500;
 constexpr unsigned kFirstRedirect = 300;
 
 bool
-IsGood(unsigned aStatus)
+IsSuccess(unsigned aStatus)
 {
   return aStatus < kFirstRedirect;
 }
@@ -30,15 +31,15 @@
 } // namespace
 
 void
-exchange::Sign(const attempt& aAttempt, endpoint_sign aSign)
+exchange::RecordHealthEvent(const attempt& aAttempt, endpoint_sign aSign)
 {
-  if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
-    Sign(*known, aSign);
+  if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
+    RecordHealthEvent(*known, aSign);
   }
 }
 
 void
-exchange::Sign(known_endpoint& aEndpoint, endpoint_sign aSign)
+exchange::RecordHealthEvent(known_endpoint& aEndpoint, endpoint_sign aSign)
 {
   const time_point now = mContext.mLoop.Now();
   const bool was = Avoided(aEndpoint, now);
@@ -52,7 +53,7 @@
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
           { "address", aEndpoint.mListed.mAddress.Text() },
-          { "request", mFacts.mId },
+          { "request", mRequestInfo.mId },
           { "strikes", aEndpoint.mHealth.mStrikes },
           { "for_ms", Milliseconds(aEndpoint.mHealth.mAvoidUntil - now) } });
   }
@@ -61,8 +62,8 @@
 known_endpoint*
 exchange::FindRefusingHelper(const attempt& aAttempt)
 {
-  const std::string& address = aAttempt.Facts().mFaultyHelperAddress;
-  if (mHelpers == 0 || address.empty()) {
+  const std::string& address = aAttempt.Info().mFaultyHelperAddress;
+  if (mHelperCount == 0 || address.empty()) {
     return nullptr;
   }
   for (auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
@@ -77,15 +78,15 @@
 void
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
-  Sign(aHelper, endpoint_sign::Unwilling);
+  RecordHealthEvent(aHelper, endpoint_sign::Unwilling);
   mContext.mOutbox.TellUnwilling(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
-  // The engine that was sent the prompt did nothing and may be sent it again:
-  // this is none of the attempts that the route allows.
-  mTried.pop_back();
+  // The engine that received the prompt did no work and may receive it again,
+  // so this does not count as one of the attempts that the route allows.
+  mAttemptedEndpoints.pop_back();
   mExcludedEndpoints.pop_back();
   mExcludedEndpoints.push_back(aHelper.mListed.mId);
-  if (++mHelperRefusals <= kMostHelperRefusals && ConsumeRetryBudget()) {
+  if (++mHelperRefusals <= kMaxHelperRefusals && ConsumeRetryBudget()) {
     Retry(aWhy);
   } else {
     GiveUp(error_kind::Overloaded, aWhy);
@@ -93,11 +94,14 @@
 }
 
 void
-exchange::ReportUnfinishedAttempt(const attempt& aAttempt, bool aBrokeOff)
+exchange::ReportUnfinishedAttempt(const attempt& aAttempt,
+                                  bool aEndpointAtFault)
 {
-  if (aAttempt.Sent()) {
-    mContext.mCrashes.OnBroken(
-      { mDigest, aAttempt.Endpoint().mId, mAttemptHasEvents, aBrokeOff });
+  if (aAttempt.WasSent()) {
+    mContext.mCrashes.OnBroken({ mDigest,
+                                 aAttempt.Endpoint().mId,
+                                 mAttemptHasEvents,
+                                 aEndpointAtFault });
   }
 }
 
@@ -105,10 +109,10 @@
 exchange::RecordReportedLoad(const attempt& aAttempt)
 {
   if (mService->mEngine.has_value() &&
-      aAttempt.Facts().mReportedRequests.has_value()) {
+      aAttempt.Info().mReportedRequests.has_value()) {
     NoteSaid(mContext.mBoard.mLedger,
              EngineKey(aAttempt.Endpoint().mId),
-             *aAttempt.Facts().mReportedRequests,
+             *aAttempt.Info().mReportedRequests,
              mContext.mLoop.Now());
   }
 }
@@ -116,8 +120,8 @@
 void
 exchange::ApplyReportedLimit(const attempt& aAttempt)
 {
-  const answer_info& facts = aAttempt.Facts();
-  known_endpoint* const known = Known(aAttempt);
+  const answer_info& facts = aAttempt.Info();
+  known_endpoint* const known = FindEndpoint(aAttempt);
   if (known == nullptr || facts.mWrongEndpoint) {
     return;
   }
@@ -143,7 +147,7 @@
 void
 exchange::RecordEndpointActivity(const attempt& aAttempt)
 {
-  if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
+  if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
     known->mHeard = mContext.mLoop.Now();
   }
 }
@@ -155,7 +159,7 @@
   RecordReportedLoad(aAttempt);
   ApplyReportedLimit(aAttempt);
   mStreaming =
-    mRoute->mKind == call_kind::Stream && IsGood(aAttempt.Head().mStatus);
+    mRoute->mKind == call_kind::Stream && IsSuccess(aAttempt.Head().mStatus);
   if (mStreaming && !mStreamHead.has_value()) {
     mStreamHead = aAttempt.Head();
   }
@@ -188,9 +192,9 @@
   mLastEventAt = now;
   std::string chunk;
   AppendChunk(chunk, events);
-  mPort->Write(chunk);
-  if (mPort->Pending() > kMostPending) {
-    mPaused = true;
+  mResponse->Write(chunk);
+  if (mResponse->Pending() > kMaxPendingBytes) {
+    mReadingPaused = true;
     aAttempt.PauseReading(true);
     mContext.mLoop.Cancel(mResponseTimer);
     return;
@@ -201,8 +205,8 @@
 void
 exchange::OnResponseDrained()
 {
-  if (mPaused && mAttempt != nullptr) {
-    mPaused = false;
+  if (mReadingPaused && mAttempt != nullptr) {
+    mReadingPaused = false;
     mAttempt->PauseReading(false);
   }
 }
@@ -214,7 +218,7 @@
   const unsigned status = aAttempt.Head().mStatus;
   mContext.mCrashes.OnServed(mDigest);
   if (status >= kFirstServerError) {
-    Sign(aAttempt, endpoint_sign::Failed);
+    RecordHealthEvent(aAttempt, endpoint_sign::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
       mMayHaveRun = true;
       ReleaseAttempt();
@@ -222,11 +226,11 @@
       return;
     }
   } else {
-    Sign(aAttempt, endpoint_sign::Answered);
+    RecordHealthEvent(aAttempt, endpoint_sign::Answered);
   }
   if (!mStreaming) {
     if (mHeadWritten) {
-      // A stream that was to go on elsewhere was refused there.
+      // The endpoint that should have resumed the stream refused.
       ReleaseAttempt();
       GiveUp(error_kind::StreamBroken, "resume_failed");
       return;
@@ -242,7 +246,7 @@
   std::string rest;
   AppendChunk(rest, aAttempt.Body());
   rest.append(kLastChunk);
-  mPort->Write(rest);
+  mResponse->Write(rest);
   ReleaseAttempt();
   End("answered", "");
 }
@@ -253,7 +257,7 @@
   std::string body = std::move(aAttempt.Body());
   mFirstEventAt = mContext.mLoop.Now();
   WriteHead(aAttempt.Head(), body.size());
-  mPort->Write(body);
+  mResponse->Write(body);
   const bool good = aAttempt.Head().mStatus < kFirstError;
   const std::string why =
     good ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
@@ -281,7 +285,7 @@
     AppendField(head, "Connection", "close");
   }
   head.append("\r\n");
-  mPort->Write(head);
+  mResponse->Write(head);
 }
 
 void
@@ -293,34 +297,35 @@
   const std::string id = aAttempt.Endpoint().mId;
   Log(log_level::Info,
       "attempt_ended",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "endpoint", id },
         { "digest", DigestText(mDigest) },
         { "why", aWhy },
         { "answer_begun", static_cast<int>(aAttempt.AnswerStarted()) },
-        { "at_fault", aAttempt.Facts().mFaultyHelperAddress },
+        { "at_fault", aAttempt.Info().mFaultyHelperAddress },
         { "after_ms", Milliseconds(mContext.mLoop.Now() - aAttempt.SentAt()) },
         { "last_event", mCursor.LastId().value_or(0) } });
-  const bool elsewhere = aAttempt.Facts().mWrongEndpoint;
+  const bool elsewhere = aAttempt.Info().mWrongEndpoint;
   switch (aEnd) {
     case attempt_end::NotConnected:
-      Sign(aAttempt, endpoint_sign::Unreachable);
+      RecordHealthEvent(aAttempt, endpoint_sign::Unreachable);
       if (aAttempt.ConnectionRefused()) {
         mContext.mCrashes.OnGone(id, "refused");
       }
       ReleaseAttempt();
-      mTried.pop_back();
-      if (mExcludedEndpoints.size() - mTried.size() >= kMostUnreached) {
+      mAttemptedEndpoints.pop_back();
+      if (mExcludedEndpoints.size() - mAttemptedEndpoints.size() >=
+          kMaxConnectFailures) {
         GiveUp(error_kind::NoEndpoint, "unreachable");
         return;
       }
       Retry(aWhy);
       return;
-    case attempt_end::Stale:
-      // The same endpoint, on a new connection.
+    case attempt_end::StaleConnection:
+      // Retry on the same endpoint with a new connection.
       ReportUnfinishedAttempt(aAttempt, true);
       ReleaseAttempt();
-      mTried.pop_back();
+      mAttemptedEndpoints.pop_back();
       mExcludedEndpoints.pop_back();
       mNeedsNewConnection = true;
       mMayHaveRun = true;
@@ -330,11 +335,11 @@
         GiveUp(error_kind::EndpointFailed, aWhy);
       }
       return;
-    case attempt_end::NotRun:
+    case attempt_end::NotExecuted:
       RecordReportedLoad(aAttempt);
       ApplyReportedLimit(aAttempt);
       if (elsewhere) {
-        Sign(aAttempt, endpoint_sign::Elsewhere);
+        RecordHealthEvent(aAttempt, endpoint_sign::Elsewhere);
         mContext.mCrashes.OnGone(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
@@ -343,7 +348,8 @@
         return;
       }
       ReleaseAttempt();
-      if (mTried.size() < mRoute->mMaxAttempts && ConsumeRetryBudget()) {
+      if (mAttemptedEndpoints.size() < mRoute->mMaxAttempts &&
+          ConsumeRetryBudget()) {
         Retry(aWhy);
         return;
       }
@@ -352,8 +358,8 @@
     case attempt_end::ConnectionLost:
       ReportUnfinishedAttempt(aAttempt, true);
       [[fallthrough]];
-    case attempt_end::Broken:
-      Sign(aAttempt, endpoint_sign::Broke);
+    case attempt_end::InvalidAnswer:
+      RecordHealthEvent(aAttempt, endpoint_sign::Broke);
       mMayHaveRun = true;
       ReleaseAttempt();
       if (CanRetryElsewhere() && ConsumeRetryBudget()) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-/// How many times its objective an answer of a plain service may be silent
-/// before it is asked for elsewhere; enough is left to be answered in time.
-constexpr double kSilenceOfObjective = 0.6;
-/// Times that engines may refuse to set memory aside for one request.
-constexpr std::size_t kMostMemoryRefusals = 3;
-/// An engine that writes sends something for each stream at each of its passes,
-/// which take some tens of milliseconds, and several hundred beside long
-/// reading.
-constexpr duration kWorksIfHeardWithin = std::chrono::milliseconds(600);
-/// Reading that explains a silence.
-constexpr duration kWorthWaitingFor = std::chrono::milliseconds(100);
-
-/// A caller that is told to come back after more than this part of the time
-/// that it has left comes back at once instead, or not at all.
-constexpr int kCallersPatience = 3;
+/// Response timeout of a plain service (one without engines), as a multiple of
+/// the latency target. A retry elsewhere can still answer in time.
+constexpr double kResponseTimeoutFactor = 0.6;
+/// Refused memory reservations after which a request is refused.
+constexpr std::size_t kMaxMemoryRefusals = 3;
+/// An engine that decodes sends data for each stream at every decoding step. A
+/// step takes some tens of milliseconds, and several hundred beside a long
+/// prefill.
+constexpr duration kResponsiveWindow = std::chrono::milliseconds(600);
+/// A prefill backlog that is long enough to explain why an endpoint does not
+/// respond.
+constexpr duration kMinPrefillBacklog = std::chrono::milliseconds(100);
+
+/// Retry-After is at most the caller's remaining time divided by this. A caller
+/// that is given a longer delay retries at once instead, or not at all.
+constexpr int kMaxRetryAfterDivisor = 3;
 
 constexpr double kMsPerSecond = 1e3;
 
 std::string
-IdsOf(const std::vector<known_endpoint*>& aEndpoints)
+JoinIds(const std::vector<known_endpoint*>& aEndpoints)
 {
   std::string ids;
   for (const known_endpoint* const one : aEndpoints) {
@@ -36,7 +37,7 @@
 }
 
 std::vector<endpoint>
-Listed(const std::vector<known_endpoint*>& aEndpoints)
+ToEndpoints(const std::vector<known_endpoint*>& aEndpoints)
 {
   std::vector<endpoint> listed;
   listed.reserve(aEndpoints.size());
@@ -51,11 +52,11 @@
 bool
 exchange::TrySendToEngines()
 {
-  gateway_state& board = mContext.mBoard;
+  gateway_state& shared = mContext.mBoard;
   const engine_work work = DescribeEngineWork();
   const std::optional<engine_choice> choice =
-    PlaceOnEngines(board.mEndpoints,
-                   board.mLedger,
+    PlaceOnEngines(shared.mEndpoints,
+                   shared.mLedger,
                    *mService->mEngine,
                    work,
                    mExcludedEndpoints,
@@ -64,24 +65,25 @@
   if (!choice.has_value()) {
     return false;
   }
-  // What was taken on is not turned away when it has to go on elsewhere.
-  const bool takenOn = !mTried.empty();
+  // A request that was accepted before is not refused when it has to be retried
+  // on another engine.
+  const bool alreadyAccepted = !mAttemptedEndpoints.empty();
   switch (choice->mVerdict) {
     case engine_verdict::Send:
       break;
     case engine_verdict::Wait:
-      if (takenOn || board.mDraining) {
+      if (alreadyAccepted || shared.mDraining) {
         break;
       }
       PostponePlacement(*choice);
       return true;
     case engine_verdict::TurnAway:
-      if (takenOn) {
+      if (alreadyAccepted) {
         break;
       }
       [[fallthrough]];
     case engine_verdict::NoMemory:
-      TurnAway(*choice);
+      RefuseOverloaded(*choice);
       return true;
   }
   TakeToken(choice->mWriter->mLimit, mContext.mLoop.Now());
@@ -90,7 +92,7 @@
     ReserveMemory(*choice);
     return true;
   }
-  SendToEngines(choice->mWriter->mListed, Listed(choice->mReaders), 0);
+  SendToEngines(choice->mWriter->mListed, ToEndpoints(choice->mReaders), 0);
   return true;
 }
 
@@ -98,7 +100,7 @@
 exchange::Objective() const
 {
   return mRoute->mObjective > duration::zero() ? mRoute->mObjective
-                                               : mDeadline - mBegan;
+                                               : mDeadline - mStarted;
 }
 
 engine_work
@@ -106,15 +108,15 @@
 {
   engine_work work;
   work.mService = mService->mName;
-  work.mPromptTokens = mFacts.mPromptTokens;
-  work.mAnswerTokens =
-    std::min(mFacts.mMaxAnswerTokens, mService->mEngine->mUsualAnswerTokens);
+  work.mPromptTokens = mRequestInfo.mPromptTokens;
+  work.mAnswerTokens = std::min(mRequestInfo.mMaxAnswerTokens,
+                                mService->mEngine->mUsualAnswerTokens);
   work.mObjective = Objective();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
                          : work.mObjective;
   work.mWorth = WorthOfWork(work.mPromptTokens);
-  work.mElapsed = mContext.mLoop.Now() - mBegan;
+  work.mElapsed = mContext.mLoop.Now() - mStarted;
   work.mOrderSeed = mContext.mBoard.mBoot;
   return work;
 }
@@ -122,13 +124,13 @@
 void
 exchange::PostponePlacement(const engine_choice& aChoice)
 {
-  if (!mWaited) {
-    mWaited = true;
+  if (!mPostponed) {
+    mPostponed = true;
     mContext.mBoard.mMetrics.Count("gateway_placements_postponed_total");
     Log(log_level::Info,
         "placement_postponed",
-        { { "request", mFacts.mId },
-          { "prompt_tokens", mFacts.mPromptTokens },
+        { { "request", mRequestInfo.mId },
+          { "prompt_tokens", mRequestInfo.mPromptTokens },
           { "gain", aChoice.mGain },
           { "harm", TotalHarm(aChoice.mHarm) },
           { "price", aChoice.mPrice } });
@@ -141,7 +143,7 @@
 }
 
 void
-exchange::TurnAway(const engine_choice& aChoice)
+exchange::RefuseOverloaded(const engine_choice& aChoice)
 {
   const bool fits = aChoice.mVerdict != engine_verdict::NoMemory;
   const duration after = TimeUntilAccepted(mContext.mBoard.mEndpoints,
@@ -150,13 +152,13 @@
                                            DescribeEngineWork(),
                                            mContext.mSettings.mDataCentre,
                                            mContext.mLoop.Now(),
-                                           Left() / kCallersPatience);
+                                           TimeLeft() / kMaxRetryAfterDivisor);
   mContext.mBoard.mMetrics.Count(
     Labelled("gateway_turned_away_total", "why", fits ? "costs" : "no_memory"));
   Log(log_level::Info,
       "turned_away",
-      { { "request", mFacts.mId },
-        { "prompt_tokens", mFacts.mPromptTokens },
+      { { "request", mRequestInfo.mId },
+        { "prompt_tokens", mRequestInfo.mPromptTokens },
         { "fits", static_cast<int>(fits) },
         { "helpers", aChoice.mReaders.size() },
         { "part_ms", aChoice.mPartMs },
@@ -178,63 +180,66 @@
 exchange::RecordPlacement(const engine_choice& aChoice,
                           const engine_work& aWork)
 {
-  gateway_state& board = mContext.mBoard;
+  gateway_state& shared = mContext.mBoard;
   placement placed = PlacementOf(
-    aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacementNumber));
-  placed.mOwner = board.mBoot;
-  placed.mBegan = mBegan;
+    aChoice, aWork, PlacementKey(shared.mBoot, ++shared.mLastPlacementNumber));
+  placed.mOwner = shared.mBoot;
+  placed.mBegan = mStarted;
   placed.mExpires = mDeadline;
-  NotePlaced(board.mLedger, placed, mContext.mLoop.Now());
+  NotePlaced(shared.mLedger, placed, mContext.mLoop.Now());
   mContext.mOutbox.TellPlaced(placed);
   mPlacement = placed.mKey;
   mExpectedFirstEventMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
       "placed",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "route", mRoute->mName },
         { "organisation", mOrganisation },
         { "endpoint", aChoice.mWriter->mListed.mId },
         { "helpers", aChoice.mReaders.size() },
         { "holders", aChoice.mHolders },
-        { "readers", IdsOf(aChoice.mReaders) },
-        { "prompt_tokens", mFacts.mPromptTokens },
+        { "readers", JoinIds(aChoice.mReaders) },
+        { "prompt_tokens", mRequestInfo.mPromptTokens },
         { "part_ms", aChoice.mPartMs },
         { "expected_ms", aChoice.mFirstEventMs },
-        { "waited_ms", mWaited ? Milliseconds(aWork.mElapsed) : 0 },
+        { "waited_ms", mPostponed ? Milliseconds(aWork.mElapsed) : 0 },
         { "harm", TotalHarm(aChoice.mHarm) },
-        { "attempt", mTried.size() + 1 },
+        { "attempt", mAttemptedEndpoints.size() + 1 },
         { "manifest", mManifest->Manifest().mVersion } });
 }
 
 void
 exchange::ReserveMemory(const engine_choice& aChoice)
 {
-  const std::vector<endpoint> readers = Listed(aChoice.mReaders);
-  const endpoint writer = aChoice.mWriter->mListed;
-  const std::size_t holders = aChoice.mHolders;
+  const std::vector<endpoint> helpers = ToEndpoints(aChoice.mReaders);
+  const endpoint decodeEngine = aChoice.mWriter->mListed;
+  const std::size_t reservedCount = aChoice.mHolders;
   mMemory = std::make_shared<memory_reservation>(
     mContext.mLoop,
     mContext.mAdapter,
     mContext.mBoard,
     mContext.mSettings.mName + '-' + std::to_string(*mPlacement),
-    std::vector<endpoint>(
-      readers.begin(), readers.begin() + static_cast<std::ptrdiff_t>(holders)),
+    std::vector<endpoint>(helpers.begin(),
+                          helpers.begin() +
+                            static_cast<std::ptrdiff_t>(reservedCount)),
     aChoice.mHolderTokens);
   mMemory->Acquire(
-    [weak = weak_from_this(), writer, readers, holders](bool aGranted) {
+    [weak = weak_from_this(), decodeEngine, helpers, reservedCount](
+      bool aGranted) {
       const std::shared_ptr<exchange> self = weak.lock();
       if (self == nullptr || self->mState == state::Ended) {
         return;
       }
       if (aGranted) {
-        self->SendToEngines(writer, readers, holders);
+        self->SendToEngines(decodeEngine, helpers, reservedCount);
         return;
       }
       Log(log_level::Info,
           "memory_refused",
-          { { "request", self->mFacts.mId }, { "holders", holders } });
+          { { "request", self->mRequestInfo.mId },
+            { "holders", reservedCount } });
       self->ReleaseAttempt();
-      if (++self->mMemoryRefusals >= kMostMemoryRefusals) {
+      if (++self->mMemoryRefusals >= kMaxMemoryRefusals) {
         self->GiveUp(error_kind::Overloaded, "no_memory");
         return;
       }
@@ -243,47 +248,48 @@
 }
 
 void
-exchange::SendToEngines(const endpoint& aWriter,
-                        const std::vector<endpoint>& aReaders,
-                        std::size_t aHolders)
+exchange::SendToEngines(const endpoint& aDecodeEngine,
+                        const std::vector<endpoint>& aHelpers,
+                        std::size_t aReservedCount)
 {
   std::vector<prefill_helper> helpers;
-  for (std::size_t i = 0; i < aReaders.size(); ++i) {
-    helpers.push_back(
-      { aReaders[i].mAddress, i < aHolders ? mMemory->Reservation() : "" });
+  for (std::size_t i = 0; i < aHelpers.size(); ++i) {
+    helpers.push_back({ aHelpers[i].mAddress,
+                        i < aReservedCount ? mMemory->Reservation() : "" });
   }
-  StartAttempt(aWriter, helpers);
+  StartAttempt(aDecodeEngine, helpers);
   StartResponseTimer(FirstEventPatience(
-    DescribeEngineWork(), mExpectedFirstEventMs, !aReaders.empty()));
+    DescribeEngineWork(), mExpectedFirstEventMs, !aHelpers.empty()));
 }
 
 bool
 exchange::TrySendToPlainEndpoint()
 {
-  gateway_state& board = mContext.mBoard;
+  gateway_state& shared = mContext.mBoard;
   known_endpoint* const chosen =
-    ChoosePlainEndpoint(board.mEndpoints,
+    ChoosePlainEndpoint(shared.mEndpoints,
                         mService->mName,
                         mContext.mSettings.mDataCentre,
                         mExcludedEndpoints,
                         mContext.mLoop.Now(),
-                        Uniform(board.mRandom));
+                        Uniform(shared.mRandom));
   if (chosen == nullptr) {
     return false;
   }
   TakeToken(chosen->mLimit, mContext.mLoop.Now());
   Log(log_level::Info,
       "placed",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "route", mRoute->mName },
         { "organisation", mOrganisation },
         { "endpoint", chosen->mListed.mId },
         { "outstanding", chosen->mOutstanding },
-        { "attempt", mTried.size() + 1 },
+        { "attempt", mAttemptedEndpoints.size() + 1 },
         { "manifest", mManifest->Manifest().mVersion } });
   StartAttempt(chosen->mListed, {});
   if (mRoute->mKind == call_kind::Idempotent) {
-    StartResponseTimer(FromSeconds(kSilenceOfObjective * Seconds(Objective())));
+    StartResponseTimer(
+      FromSeconds(kResponseTimeoutFactor * Seconds(Objective())));
   }
   return true;
 }
@@ -302,7 +308,7 @@
   }
   mContext.mBoard.mMetrics.Count("gateway_limit_refusals_total");
   const duration maxRetryAfter =
-    std::max(kMinRetryAfter, Left() / kCallersPatience);
+    std::max(kMinRetryAfter, TimeLeft() / kMaxRetryAfterDivisor);
   GiveUp(error_kind::Overloaded,
          "endpoints_limited",
          Seconds(std::clamp(*wait, kMinRetryAfter, maxRetryAfter)));
@@ -315,14 +321,14 @@
   forwarding_info to;
   to.mEndpointId = aEndpoint.mId;
   to.mAddress = aEndpoint.mAddress;
-  to.mTimeLeft = Left();
+  to.mTimeLeft = TimeLeft();
   to.mOrganisation = mOrganisation;
   to.mHelpers = aHelpers;
   to.mLastEvent =
-    mCursor.LastId().has_value() ? mCursor.LastId() : mFacts.mLastEvent;
-  mHelpers = aHelpers.size();
+    mCursor.LastId().has_value() ? mCursor.LastId() : mRequestInfo.mLastEvent;
+  mHelperCount = aHelpers.size();
   mAttemptHasEvents = false;
-  mTried.push_back(aEndpoint.mId);
+  mAttemptedEndpoints.push_back(aEndpoint.mId);
   mExcludedEndpoints.push_back(aEndpoint.mId);
   const auto known = mContext.mBoard.mEndpoints.mEndpoints.find(aEndpoint.mId);
   if (known != mContext.mBoard.mEndpoints.mEndpoints.end()) {
@@ -334,10 +340,11 @@
                                        mContext.mAdapter,
                                        *this,
                                        aEndpoint,
-                                       mFacts.mId);
-  // A call that may not be repeated goes on a new connection: on a kept one
-  // that the endpoint closes at the same moment nobody could say whether it
-  // ran, and the caller would have to be told so.
+                                       mRequestInfo.mId);
+  // A call that must not be repeated is sent on a new connection. If the
+  // endpoint closed a reused connection at the same moment, it would be unknown
+  // whether the call was executed, and the caller would get an error that says
+  // so.
   const bool fresh = mNeedsNewConnection || !IsRetryable();
   mNeedsNewConnection = false;
   mAttempt->Send(
@@ -366,33 +373,34 @@
 void
 exchange::OnResponseTimeout()
 {
-  // An endpoint that is slow is still better than none at all.
+  // Without an alternative, keep waiting for the slow endpoint.
   if (mAttempt == nullptr || !CanRetryElsewhere() || !ConsumeRetryBudget()) {
     return;
   }
   const duration reading = PrefillBacklog(*mAttempt);
-  if (reading > kWorthWaitingFor) {
-    // Placed there since: the engine is busy, not dark.
-    StartResponseTimer(reading + kWorthWaitingFor);
+  if (reading > kMinPrefillBacklog) {
+    // Other prompts were placed there in the meantime: the engine is busy, not
+    // unresponsive.
+    StartResponseTimer(reading + kMinPrefillBacklog);
     return;
   }
   if (IsFullButResponsive(*mAttempt)) {
-    // The request waits for a slot. To avoid the engine, or to ask for the
-    // prompt again elsewhere, gives the others more to do, until they are
-    // silent in their turn.
-    StartResponseTimer(kWorksIfHeardWithin);
+    // The request waits for a slot. Avoiding the engine, or prefilling the
+    // prompt again elsewhere, would add load to the other engines until they
+    // time out as well.
+    StartResponseTimer(kResponsiveWindow);
     return;
   }
   LogResponseTimeout();
-  Sign(*mAttempt, endpoint_sign::Silent);
+  RecordHealthEvent(*mAttempt, endpoint_sign::Silent);
   ReportUnfinishedAttempt(*mAttempt, true);
-  mMayHaveRun = mMayHaveRun || mAttempt->Sent();
+  mMayHaveRun = mMayHaveRun || mAttempt->WasSent();
   ReleaseAttempt();
   Retry("silent");
 }
 
 known_endpoint*
-exchange::Known(const attempt& aAttempt) const
+exchange::FindEndpoint(const attempt& aAttempt) const
 {
   const auto known =
     mContext.mBoard.mEndpoints.mEndpoints.find(aAttempt.Endpoint().mId);
@@ -411,28 +419,28 @@
 bool
 exchange::IsFullButResponsive(const attempt& aAttempt) const
 {
-  const known_endpoint* const known = Known(aAttempt);
+  const known_endpoint* const known = FindEndpoint(aAttempt);
   const engine_load* const load = FindEngineLoad(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
          load->mWriting.size() >= mService->mEngine->mSlots &&
-         mContext.mLoop.Now() - known->mHeard < kWorksIfHeardWithin;
+         mContext.mLoop.Now() - known->mHeard < kResponsiveWindow;
 }
 
 void
 exchange::LogResponseTimeout() const
 {
   const time_point now = mContext.mLoop.Now();
-  const known_endpoint* const known = Known(*mAttempt);
+  const known_endpoint* const known = FindEndpoint(*mAttempt);
   const engine_load* const load = FindEngineLoad(*mAttempt);
   const bool heard = known != nullptr && known->mHeard != time_point{};
   Log(log_level::Info,
       "endpoint_silent",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "endpoint", mAttempt->Endpoint().mId },
         { "expected_ms", mExpectedFirstEventMs },
         { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
         { "events", mCursor.Count() },
-        { "helpers", mHelpers },
+        { "helpers", mHelperCount },
         { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
         { "writing", load == nullptr ? 0 : load->mWriting.size() },
         { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
@@ -451,7 +459,7 @@
 bool
 exchange::CanRetryElsewhere() const
 {
-  if (!IsRetryable() || mTried.size() >= mRoute->mMaxAttempts) {
+  if (!IsRetryable() || mAttemptedEndpoints.size() >= mRoute->mMaxAttempts) {
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
@@ -482,11 +490,11 @@
   }
   Log(log_level::Info,
       "retry",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "why", aWhy },
-        { "sent_to", mTried.size() },
+        { "sent_to", mAttemptedEndpoints.size() },
         { "after_event", mCursor.LastId().value_or(0) },
-        { "left_ms", Milliseconds(Left()) } });
+        { "left_ms", Milliseconds(TimeLeft()) } });
   mStreaming = false;
   mCursor.Resume();
   Dispatch();
@@ -497,11 +505,11 @@
 {
   mContext.mLoop.Cancel(mResponseTimer);
   if (mAttempt != nullptr) {
-    known_endpoint* const known = Known(*mAttempt);
+    known_endpoint* const known = FindEndpoint(*mAttempt);
     if (known != nullptr && known->mOutstanding > 0) {
       --known->mOutstanding;
     }
-    mReachedEndpoint = mReachedEndpoint || mAttempt->Sent();
+    mReachedEndpoint = mReachedEndpoint || mAttempt->WasSent();
     mAttempt->Cancel();
     mContext.mLoop.DeleteLater(std::move(mAttempt));
     mAttempt = nullptr;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -8,31 +8,33 @@
 
 namespace {
 
-/// House-keeping: overdue connections, expired placements, the end of a drain.
-constexpr duration kTick = std::chrono::milliseconds(100);
-/// Between two lines on what this entry knows of the fleet: a few hundred bytes
-/// each, and new enough to look at while a fleet is slow.
-constexpr duration kKnowledgePeriod = std::chrono::seconds(30);
-
-/// An entry that starts asks the platform; if that has not answered by now, the
-/// peers, so that a restart while the platform is away serves all the same.
-constexpr duration kStoreFirst = std::chrono::milliseconds(250);
-
-/// Changes of a table that come within such a span of an answer come in the
-/// next one. Settings are in force within two seconds of their acceptance, so
-/// they wait for little. Endpoints report that they leave two seconds or more
-/// before they do; while hundreds of them start, each change by itself would be
-/// an answer to each entry (18 of the 46 calls that each of 103 entries made on
-/// a day of 34 s before 172 engines).
-constexpr duration kGatherManifests = std::chrono::milliseconds(200);
-constexpr duration kGatherEndpoints = std::chrono::milliseconds(800);
-
-/// Peers that are asked in a row while they give no answer. More are not: the
-/// next datagram that shows a newer belief begins anew.
-constexpr unsigned kMostPeersAsked = 3;
-
-constexpr unsigned kGood = 200;
-constexpr unsigned kNotReady = 503;
+/// Interval of periodic work: closing expired connections, removing expired
+/// placements, and checking whether a drain is complete.
+constexpr duration kTickInterval = std::chrono::milliseconds(100);
+/// Interval of the status log line. A line has a few hundred bytes and has to
+/// be recent enough to diagnose a fleet while it is slow.
+constexpr duration kStatusLogInterval = std::chrono::seconds(30);
+
+/// A gateway that starts reads the tables of the platform's store. If the store
+/// has not answered after this time, it asks the peers as well, so that a
+/// restart during a store outage still serves.
+constexpr duration kPeerFallbackDelay = std::chrono::milliseconds(250);
+
+/// Changes of a table within this time after an answer are batched into the
+/// next one. Manifests must be in force within two seconds of their acceptance,
+/// so their batching time is short. Endpoints announce that they leave at least
+/// two seconds ahead. While hundreds of endpoints start, each change without
+/// batching would cause one answer to every gateway (18 of the 46 calls that
+/// each of 103 gateways made in a run of 34 s with 172 engines).
+constexpr duration kManifestBatchTime = std::chrono::milliseconds(200);
+constexpr duration kEndpointBatchTime = std::chrono::milliseconds(800);
+
+/// Peers to ask one after another while none answers. After that, the next
+/// datagram that reports newer state starts over.
+constexpr unsigned kMaxPeerFetches = 3;
+
+constexpr unsigned kStatusOk = 200;
+constexpr unsigned kStatusUnavailable = 503;
 
 std::string_view
 ListingName(listing aListing)
@@ -93,12 +95,12 @@
     mBoard,
     mSettings.mStore,
     mAdapter.mManifestTable,
-    kGatherManifests,
-    table_follower::listener{ [this](const table_read_result& aReading) {
-                               OnManifestRows(aReading.mRows);
+    kManifestBatchTime,
+    table_follower::listener{ [this](const table_read_result& aResult) {
+                               OnManifestRows(aResult.mRows);
                              },
-                              [this](const table_read_result& aReading) {
-                                OnManifestRows(aReading.mRows);
+                              [this](const table_read_result& aResult) {
+                                OnManifestRows(aResult.mRows);
                               } });
   mEndpointFollower = std::make_unique<table_follower>(
     mLoop,
@@ -106,12 +108,12 @@
     mBoard,
     mSettings.mStore,
     mAdapter.mEndpointTable,
-    kGatherEndpoints,
-    table_follower::listener{ [this](const table_read_result& aReading) {
-                               OnEndpointRows(aReading, true);
+    kEndpointBatchTime,
+    table_follower::listener{ [this](const table_read_result& aResult) {
+                               OnEndpointRows(aResult, true);
                              },
-                              [this](const table_read_result& aReading) {
-                                OnEndpointRows(aReading, false);
+                              [this](const table_read_result& aResult) {
+                                OnEndpointRows(aResult, false);
                               } });
   mBoard.mStarted = mLoop.Now();
   mStatusLoggedAt = mBoard.mStarted;
@@ -136,13 +138,13 @@
       const std::shared_ptr<caller_connection> opened =
         std::make_shared<caller_connection>(
           mContext, aSocket, [this](caller_connection& aClosed) {
-            const auto found = mOpen.find(&aClosed);
-            if (found != mOpen.end()) {
+            const auto found = mCallerConnections.find(&aClosed);
+            if (found != mCallerConnections.end()) {
               mLoop.DeleteLater(std::move(found->second));
-              mOpen.erase(found);
+              mCallerConnections.erase(found);
             }
           });
-      mOpen.emplace(opened.get(), opened);
+      mCallerConnections.emplace(opened.get(), opened);
     }));
   BOOST_LEAF_ASSIGN(
     mReadiness,
@@ -189,10 +191,12 @@
   probe_connection::Serve(mLoop, aSocket, [this, aMetrics]() {
     if (aMetrics) {
       SetGauges(mBoard, mLoop.Now());
-      return probe_connection::answer{ kGood, mBoard.mMetrics.Exposition() };
+      return probe_connection::answer{ kStatusOk,
+                                       mBoard.mMetrics.Exposition() };
     }
-    return Ready() ? probe_connection::answer{ kGood, "ready\n" }
-                   : probe_connection::answer{ kNotReady, "not ready\n" };
+    return Ready()
+             ? probe_connection::answer{ kStatusOk, "ready\n" }
+             : probe_connection::answer{ kStatusUnavailable, "not ready\n" };
   });
 }
 
@@ -205,7 +209,7 @@
     follower.Refresh(aPatience);
   }
   if (!follower.Reached()) {
-    mPeerFetchesLeft = kMostPeersAsked;
+    mPeerFetchesLeft = kMaxPeerFetches;
     FetchRowsFromPeer();
   }
 }
@@ -213,8 +217,8 @@
 void
 gateway::OnManifestRows(const std::vector<row_change<std::string>>& aRows)
 {
-  // Decoding a version takes a slow entry tens of milliseconds, in which its
-  // streams stand still: only the newest that can be read is decoded.
+  // Decoding a manifest takes a slow gateway tens of milliseconds, during which
+  // its streams stall, so only the newest valid version is decoded.
   for (auto row = aRows.rbegin(); row != aRows.rend(); ++row) {
     if (row->mKey != mAdapter.mManifestKey || !row->mValue.has_value()) {
       continue;
@@ -293,10 +297,10 @@
 }
 
 void
-gateway::OnEndpointRows(const table_read_result& aReading, bool aWhole)
+gateway::OnEndpointRows(const table_read_result& aResult, bool aIsFullList)
 {
   std::vector<row_change<endpoint>> rows;
-  for (const row_change<std::string>& row : aReading.mRows) {
+  for (const row_change<std::string>& row : aResult.mRows) {
     row_change<endpoint> change{ row.mKey, row.mRevision, std::nullopt };
     if (row.mValue.has_value()) {
       const outcome<endpoint> decoded = Capture<endpoint>([this, &row]() {
@@ -315,12 +319,12 @@
   for (const row_change<endpoint>& row : rows) {
     OnListingChange(row.mKey, ApplyRow(mBoard.mEndpoints, row));
   }
-  StoreEndpointRows(aReading.mRows);
+  StoreEndpointRows(aResult.mRows);
   mBoard.mEndpointListRevision =
-    std::max(mBoard.mEndpointListRevision, aReading.mRevision);
-  if (aWhole) {
+    std::max(mBoard.mEndpointListRevision, aResult.mRevision);
+  if (aIsFullList) {
     for (const std::string& id :
-         ApplyWholeList(mBoard.mEndpoints, rows, aReading.mRevision)) {
+         ApplyWholeList(mBoard.mEndpoints, rows, aResult.mRevision)) {
       OnListingChange(id, listing::Left);
       mEndpointRows.erase(id);
     }
@@ -370,9 +374,9 @@
   if (aRows.mEndpoints.empty()) {
     return;
   }
-  table_read_result reading;
-  reading.mRows = aRows.mEndpoints;
-  OnEndpointRows(reading, false);
+  table_read_result peerRows;
+  peerRows.mRows = aRows.mEndpoints;
+  OnEndpointRows(peerRows, false);
   mBoard.mEndpointsKnown = true;
 }
 
@@ -403,22 +407,23 @@
   if (mBoard.mDraining) {
     CheckDrained();
   }
-  // Once for all that came since the last time: an entry that starts hears of
-  // hundreds of others within a second. Until then they count as preferred.
+  // Update once for all changes since the last tick, because a starting gateway
+  // discovers hundreds of peers within a second. Until then, new endpoints
+  // count as preferred.
   if (mBoard.mSubsetRingStale) {
     UpdateSubsetRing(mBoard, mSettings.mPeers.mHost);
     UpdateLimitShares(mBoard, mSettings.mPeers.mHost, mLoop.Now());
   }
-  if (mLoop.Now() - mStatusLoggedAt >= kKnowledgePeriod) {
+  if (mLoop.Now() - mStatusLoggedAt >= kStatusLogInterval) {
     mStatusLoggedAt = mLoop.Now();
     LogFleetStatus(mBoard, mStatusLoggedAt);
   }
   if ((mBoard.mManifest == nullptr || !mBoard.mEndpointsKnown) &&
-      mLoop.Now() - mBoard.mStarted > kStoreFirst) {
+      mLoop.Now() - mBoard.mStarted > kPeerFallbackDelay) {
     mPeerFetchesLeft = 1;
     FetchRowsFromPeer();
   }
-  mTimer = mLoop.After(kTick, [this]() {
+  mTimer = mLoop.After(kTickInterval, [this]() {
     mTimer = 0;
     Tick();
   });
@@ -446,7 +451,7 @@
   if (drained >= kBalancerRemovalTime && !mIdleConnectionsClosed) {
     mIdleConnectionsClosed = true;
     std::vector<std::shared_ptr<caller_connection>> open;
-    for (const auto& [key, connection] : mOpen) {
+    for (const auto& [key, connection] : mCallerConnections) {
       open.push_back(connection);
     }
     for (const std::shared_ptr<caller_connection>& connection : open) {
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The whole gateway of one process.
+/// The gateway of one process: its listeners, its shared state, and the
+/// components that update it.
 
 #include "LibGateway/CallerConnection.h"
 #include "LibGateway/EntryRoll.h"
@@ -21,35 +22,41 @@
   gateway& operator=(const gateway&) = delete;
 
   result<void> Start();
-  /// Takes over what may change while the process runs; says what may not.
+  /// Applies the settings that may change at run time and logs whether others
+  /// changed, which need a restart.
   void Reload(const gateway_settings& aSettings);
-  /// Says "not ready", lets what is in flight end, and then quits the loop.
+  /// Reports "not ready" to probes, waits for requests in progress, and then
+  /// quits the event loop.
   void Drain();
   const gateway_state& Board() const { return mBoard; }
-  /// Where callers connect, also where the system chose the port; 0 once a
-  /// draining gateway has stopped listening.
+  /// Port that callers connect to, also if the system chose it; 0 before the
+  /// gateway listens.
   std::uint16_t CallersPort() const;
   std::uint16_t ReadinessPort() const;
   std::uint16_t MetricsPort() const;
 
 private:
   bool Ready() const;
-  /// Peers have known something newer for so long.
+  /// Called once peers have reported newer state for `aPatience`.
   void OnPeerAhead(belief aBelief, duration aPatience);
-  /// Rows of the manifest's table, the oldest first.
+  /// Applies rows of the manifest table, which come oldest first.
   void OnManifestRows(const std::vector<row_change<std::string>>& aRows);
-  /// Puts a manifest in force if it is newer; false if it cannot be read.
+  /// Applies a manifest if it is newer; returns false if it cannot be decoded.
   bool ApplyManifestRow(const row_change<std::string>& aRow);
-  void OnEndpointRows(const table_read_result& aReading, bool aWhole);
+  /// Applies rows of the endpoint table. With `aIsFullList`, endpoints without
+  /// a row have left.
+  void OnEndpointRows(const table_read_result& aResult, bool aIsFullList);
+  /// Keeps the applied rows for peers, as the platform sent them.
   void StoreEndpointRows(const std::vector<row_change<std::string>>& aRows);
   void OnListingChange(const std::string& aId, listing aListing);
-  /// Asks one of the peers that say they know more, and another if that one
-  /// gives no answer.
+  /// Fetches rows from one of the peers that report newer state, and from
+  /// another one if that peer does not answer.
   void FetchRowsFromPeer();
   void ApplyPeerRows(const believed_rows& aRows);
   believed_rows CollectRowsForPeers() const;
   void Tick();
   void CheckDrained();
+  /// Answers a readiness probe or, with `aMetrics`, a scrape of the metrics.
   void ServeProbe(int aSocket, bool aMetrics);
 
   event_loop& mLoop;
@@ -62,7 +69,7 @@
   peer_news mPeers;
   peer_beliefs mPeerBeliefs;
   gateway_context mContext;
-  /// The rows as the platform had them, for peers that cannot reach it.
+  /// Rows as read from the platform, served to peers that cannot reach it.
   std::optional<row_change<std::string>> mManifestRow;
   std::map<std::string, row_change<std::string>> mEndpointRows;
   unsigned mPeerFetchesLeft = 0;
@@ -73,8 +80,9 @@
   std::unique_ptr<tcp_listener> mCallers;
   std::unique_ptr<tcp_listener> mReadiness;
   std::unique_ptr<tcp_listener> mMetrics;
-  std::map<caller_connection*, std::shared_ptr<caller_connection>> mOpen;
-  bool mIdleConnectionsClosed = false; ///< Once, while draining.
+  std::map<caller_connection*, std::shared_ptr<caller_connection>>
+    mCallerConnections;
+  bool mIdleConnectionsClosed = false; ///< Done once, while draining.
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibGateway/GatewayBoard.h
+++ b/Libraries/LibGateway/GatewayBoard.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the gateway believes; every controller reads and writes here.
+/// State that all components of a gateway process share, read and update.
 
 #include "LibGateway/Adapter.h"
 #include "LibObserve/LibObserve.h"
@@ -10,39 +10,40 @@
 
 namespace primrose {
 
-/// What one process is told at its start.
+/// Settings of a gateway process.
 struct gateway_settings
 {
   std::string mName;
   std::string mDataCentre;
-  ip_address mCallers;   ///< Where callers connect.
-  ip_address mReadiness; ///< Where the balancer asks.
-  ip_address mMetrics;   ///< Where counters are read.
-  ip_address mPeers;     ///< Where other entries' datagrams arrive.
+  ip_address mCallers;   ///< Listens for callers.
+  ip_address mReadiness; ///< Listens for readiness probes of the balancer.
+  ip_address mMetrics;   ///< Listens for scrapes of the metrics.
+  ip_address mPeers;     ///< Receives datagrams from peers.
   ip_address mStore;
-  std::vector<std::string> mSeeds; ///< Hosts of entries to ask first.
-  duration mGrace{}; ///< Between the signal to end and the forced end.
+  std::vector<std::string> mSeeds; ///< Hosts of the first peers to contact.
+  duration mGrace{}; ///< From the termination signal to the forced end.
   repeat_bound mRepeats;
 
   bool operator==(const gateway_settings&) const = default;
 };
 
-/// Another entry, as heard from by datagram.
+/// Another gateway, as known from its datagrams.
 struct peer_state
 {
-  std::uint64_t mBoot = 0; ///< New at each of its starts.
+  std::uint64_t mBoot = 0; ///< Random incarnation number, new at each start.
   time_point mHeard{};
-  std::uint64_t mManifest = 0; ///< The version in force there, as it said last.
-  std::uint64_t mList = 0;     ///< The newest revision of its list.
+  std::uint64_t mManifest = 0; ///< Last reported version in force.
+  std::uint64_t mList = 0;     ///< Last reported endpoint list revision.
 
   bool operator==(const peer_state&) const = default;
 };
 
-/// The balancer takes an entry out after two probes a second apart; until then
-/// it sends new connections, which a draining entry serves like any other.
+/// The load balancer takes a gateway out of rotation after two failed probes a
+/// second apart. Until then it sends new connections, which a draining gateway
+/// serves normally.
 inline constexpr duration kBalancerRemovalTime =
   std::chrono::milliseconds(2600);
-/// Kept back from the grace for closing connections in order.
+/// Reserved from the drain period for closing connections in an orderly way.
 inline constexpr duration kShutdownReserve = std::chrono::milliseconds(400);
 
 struct gateway_state
@@ -50,24 +51,24 @@
   time_point mStarted{};
   manifest_pointer mManifest;
   time_point mManifestSince{};
-  bool mEndpointsKnown = false;
+  bool mEndpointsKnown = false; ///< The endpoint list was received.
   endpoint_board mEndpoints;
-  /// The store showed the list as of this revision, whether or not a row has
-  /// it.
+  /// Revision at which the store last showed the list; no row needs to have it.
   std::uint64_t mEndpointListRevision = 0;
-  std::map<std::string, time_point>
-    mStoreAnsweredAt; ///< By table, the last time.
-  /// By belief, since when a peer has known something newer.
+  /// Time of the last answer of the store, by table.
+  std::map<std::string, time_point> mStoreAnsweredAt;
+  /// Per kind of state, since when a peer has had a newer version; empty while
+  /// none has.
   std::map<std::string, std::optional<time_point>> mPeersAheadSince;
   engine_ledger mLedger;
   quarantine mQuarantine;
-  bool mQuarantineKnown = false; ///< The platform's rows of it were read.
-  subset_ring mSubsetRing;       ///< Engines as listed, entries as heard from.
-  bool mSubsetRingStale = false; ///< One of the two lists has changed since.
+  bool mQuarantineKnown = false; ///< The platform's table was read.
+  subset_ring mSubsetRing;       ///< Listed engines and known gateways.
+  bool mSubsetRingStale = false; ///< Engines or gateways have changed.
   std::map<std::string, repeat_record> mRepeats; ///< By service.
   std::map<std::string, peer_state> mPeers;      ///< By host.
-  bool mEntriesKnown = false;     ///< The platform's rows of them were read.
-  std::size_t mEntriesListed = 0; ///< Rows of entries, this one's included.
+  bool mEntriesKnown = false;     ///< The table of gateways was read.
+  std::size_t mEntriesListed = 0; ///< Rows in that table, this one's included.
   std::uint64_t mBoot = 0;
   std::uint32_t mLastPlacementNumber = 0;
   std::size_t mOpenRequests = 0;
@@ -77,30 +78,31 @@
   metrics mMetrics;
 };
 
-/// The version in force here; 0: none yet.
+/// The manifest version in force; 0 if there is none yet.
 std::uint64_t
-CurrentManifestVersion(const gateway_state& aBoard);
+CurrentManifestVersion(const gateway_state& aState);
 
-/// Up to which revision this entry knows the list of endpoints.
+/// The newest revision of the endpoint list that this gateway has applied.
 std::uint64_t
-CurrentListRevision(const gateway_state& aBoard);
+CurrentListRevision(const gateway_state& aState);
 
 std::vector<std::string>
-PeerHosts(const gateway_state& aBoard);
+PeerHosts(const gateway_state& aState);
 
-/// Peers that say they have a newer manifest or a newer list than this entry.
+/// Hosts of the peers that report a newer manifest or a newer endpoint list.
 std::vector<std::string>
-PeersAhead(const gateway_state& aBoard);
+PeersAhead(const gateway_state& aState);
 
-/// Brings the ring, and what is preferred by the entry at this host, up to the
-/// lists of endpoints and of peers.
+/// Updates the subset ring, and which endpoints the gateway on this host
+/// prefers, from the lists of endpoints and peers.
 void
-UpdateSubsetRing(gateway_state& aBoard, const std::string& aOwnHost);
+UpdateSubsetRing(gateway_state& aState, const std::string& aOwnHost);
 
-/// Entries that share the repeat budget: this one and the peers heard of, or
-/// those with a row in the platform where that is more. An entry that has just
-/// started and knows of nobody yet must not spend what belongs to all.
+/// The number of gateways that share the retry budget: this one and the known
+/// peers, or the gateways with a row in the platform's table if those are more.
+/// A gateway that has just started and knows no peers yet must not spend the
+/// budget of all.
 std::size_t
-EntryCount(const gateway_state& aBoard);
+EntryCount(const gateway_state& aState);
 
 } // namespace primrose
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -9,14 +9,14 @@
 constexpr double kMsPerSecond = 1e3;
 
 void
-SetEngineGauges(gateway_state& aBoard, time_point aNow)
+SetEngineGauges(gateway_state& aState, time_point aNow)
 {
   double reading = 0;
   double mostReading = 0;
   double memory = 0;
   double mostMemory = 0;
   double writing = 0;
-  for (const auto& [key, load] : aBoard.mLedger.mEngines) {
+  for (const auto& [key, load] : aState.mLedger.mEngines) {
     const double seconds = BacklogMs(load, aNow) / kMsPerSecond;
     reading += seconds;
     mostReading = std::max(mostReading, seconds);
@@ -24,7 +24,7 @@
     mostMemory = std::max(mostMemory, load.mTokens);
     writing += static_cast<double>(load.mWriting.size());
   }
-  metrics& out = aBoard.mMetrics;
+  metrics& out = aState.mMetrics;
   out.Set("gateway_promised_reading_seconds", reading);
   out.Set("gateway_promised_reading_seconds_most", mostReading);
   out.Set("gateway_engine_memory_tokens", memory);
@@ -77,69 +77,69 @@
 }
 
 std::int64_t
-Counted(const metrics& aMetrics, const std::string& aName)
+CounterValue(const metrics& aMetrics, const std::string& aName)
 {
   return static_cast<std::int64_t>(aMetrics.Value(aName));
 }
 
-/// How long ago the peer that has been silent longest was heard.
+/// Time since the last datagram of the peer that has been silent longest.
 duration
-LongestPeerSilence(const gateway_state& aBoard, time_point aNow)
+LongestPeerSilence(const gateway_state& aState, time_point aNow)
 {
   duration longest{};
-  for (const auto& [host, peer] : aBoard.mPeers) {
+  for (const auto& [host, peer] : aState.mPeers) {
     longest = std::max(longest, aNow - peer.mHeard);
   }
   return longest;
 }
 
 std::int64_t
-CountPreferred(const endpoint_board& aBoard)
+CountPreferred(const endpoint_board& aEndpoints)
 {
   return std::count_if(
-    aBoard.mEndpoints.begin(), aBoard.mEndpoints.end(), [](const auto& aEntry) {
-      return aEntry.second.mPreferred;
-    });
+    aEndpoints.mEndpoints.begin(),
+    aEndpoints.mEndpoints.end(),
+    [](const auto& aEntry) { return aEntry.second.mPreferred; });
 }
 
 } // namespace
 
 void
-SetGauges(gateway_state& aBoard, time_point aNow)
+SetGauges(gateway_state& aState, time_point aNow)
 {
-  metrics& out = aBoard.mMetrics;
-  out.Set("gateway_open_requests", static_cast<double>(aBoard.mOpenRequests));
+  metrics& out = aState.mMetrics;
+  out.Set("gateway_open_requests", static_cast<double>(aState.mOpenRequests));
   out.Set("gateway_endpoints",
-          static_cast<double>(aBoard.mEndpoints.mEndpoints.size()));
+          static_cast<double>(aState.mEndpoints.mEndpoints.size()));
   out.Set(
     "gateway_endpoints_avoided",
     static_cast<double>(std::count_if(
-      aBoard.mEndpoints.mEndpoints.begin(),
-      aBoard.mEndpoints.mEndpoints.end(),
+      aState.mEndpoints.mEndpoints.begin(),
+      aState.mEndpoints.mEndpoints.end(),
       [aNow](const auto& aEntry) { return Avoided(aEntry.second, aNow); })));
   out.Set("gateway_requests_held",
-          static_cast<double>(aBoard.mQuarantine.mHeld.size()));
+          static_cast<double>(aState.mQuarantine.mHeld.size()));
   out.Set("gateway_requests_suspected",
-          static_cast<double>(aBoard.mQuarantine.mSuspects.size()));
+          static_cast<double>(aState.mQuarantine.mSuspects.size()));
   out.Set("gateway_endpoints_preferred",
-          static_cast<double>(CountPreferred(aBoard.mEndpoints)));
-  out.Set("gateway_peers", static_cast<double>(aBoard.mPeers.size()));
+          static_cast<double>(CountPreferred(aState.mEndpoints)));
+  out.Set("gateway_peers", static_cast<double>(aState.mPeers.size()));
   out.Set("gateway_peer_silence_seconds_most",
-          Seconds(LongestPeerSilence(aBoard, aNow)));
+          Seconds(LongestPeerSilence(aState, aNow)));
   out.Set("gateway_log_lines_dropped_total",
           static_cast<double>(DroppedLogLines()));
   out.Set("gateway_manifest_age_seconds",
-          aBoard.mManifest == nullptr ? -1
-                                      : Seconds(aNow - aBoard.mManifestSince));
-  for (const auto& [table, reached] : aBoard.mStoreAnsweredAt) {
+          aState.mManifest == nullptr ? -1
+                                      : Seconds(aNow - aState.mManifestSince));
+  for (const auto& [table, reached] : aState.mStoreAnsweredAt) {
     out.Set(Labelled("gateway_store_answer_age_seconds", "table", table),
             Seconds(aNow - reached));
   }
-  for (const auto& [belief, since] : aBoard.mPeersAheadSince) {
+  for (const auto& [belief, since] : aState.mPeersAheadSince) {
     out.Set(Labelled("gateway_behind_seconds", "belief", belief),
             since.has_value() ? Seconds(aNow - *since) : 0);
   }
-  SetEngineGauges(aBoard, aNow);
+  SetEngineGauges(aState, aNow);
 }
 
 void
@@ -164,37 +164,39 @@
 }
 
 void
-LogFleetStatus(const gateway_state& aBoard, time_point aNow)
+LogFleetStatus(const gateway_state& aState, time_point aNow)
 {
-  const metrics& counted = aBoard.mMetrics;
+  const metrics& counted = aState.mMetrics;
   std::int64_t failedCalls = 0;
   for (const table_read_result::outcome failed :
        { table_read_result::outcome::HistoryLost,
          table_read_result::outcome::Refused,
          table_read_result::outcome::NoAnswer }) {
-    failedCalls += Counted(counted, StoreCallsSeries(failed));
+    failedCalls += CounterValue(counted, StoreCallsSeries(failed));
   }
   Log(
     log_level::Info,
     "knowledge",
-    { { "peers", aBoard.mPeers.size() },
+    { { "peers", aState.mPeers.size() },
       { "peer_silence_most_ms",
-        Milliseconds(LongestPeerSilence(aBoard, aNow)) },
-      { "endpoints", aBoard.mEndpoints.mEndpoints.size() },
-      { "endpoints_preferred", CountPreferred(aBoard.mEndpoints) },
-      { "placed", aBoard.mLastPlacementNumber },
-      { "placed_heard", Counted(counted, "gateway_placements_heard_total") },
+        Milliseconds(LongestPeerSilence(aState, aNow)) },
+      { "endpoints", aState.mEndpoints.mEndpoints.size() },
+      { "endpoints_preferred", CountPreferred(aState.mEndpoints) },
+      { "placed", aState.mLastPlacementNumber },
+      { "placed_heard",
+        CounterValue(counted, "gateway_placements_heard_total") },
       { "news_sent_bytes",
-        Counted(counted, PeerBytesSeries(peer_traffic::NewsSent)) },
+        CounterValue(counted, PeerBytesSeries(peer_traffic::NewsSent)) },
       { "beats_sent_bytes",
-        Counted(counted, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
+        CounterValue(counted, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
       { "crashes_sent_bytes",
-        Counted(counted, PeerBytesSeries(peer_traffic::CrashesSent)) },
-      { "held", aBoard.mQuarantine.mHeld.size() },
+        CounterValue(counted, PeerBytesSeries(peer_traffic::CrashesSent)) },
+      { "held", aState.mQuarantine.mHeld.size() },
       { "received_bytes",
-        Counted(counted, PeerBytesSeries(peer_traffic::Received)) },
+        CounterValue(counted, PeerBytesSeries(peer_traffic::Received)) },
       { "store_calls",
-        Counted(counted, StoreCallsSeries(table_read_result::outcome::Good)) },
+        CounterValue(counted,
+                     StoreCallsSeries(table_read_result::outcome::Good)) },
       { "store_calls_failed", failedCalls } });
 }
 
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -1,33 +1,34 @@
 #pragma once
 
-/// The gateway's series that are worked out from what it believes, and those of
-/// one request. docs/OPERATIONS.md lists all of them. Engines are summed up:
-/// with a series for each of 1,200 a reading would be half a megabyte.
+/// Metrics that are computed from the gateway's state or from a single request.
+/// docs/OPERATIONS.md lists all metrics. Values of engines are aggregated: with
+/// one series for each of 1,200 engines, a scrape would return half a megabyte.
 
 #include "LibGateway/GatewayBoard.h"
 
 namespace primrose {
 
-/// Sets the gauges that change with time, just before they are read.
+/// Updates the gauges that change with time; called before each scrape.
 void
-SetGauges(gateway_state& aBoard, time_point aNow);
+SetGauges(gateway_state& aState, time_point aNow);
 
-/// What came of a stream that was answered whole.
+/// Measured times of a stream that was answered completely.
 struct stream_times
 {
   duration mFirstEvent{};
-  duration mObjective{}; ///< Of the first event.
+  duration mObjective{}; ///< For the first event.
   duration mLongestPause{};
-  duration mAllowedPause{}; ///< 0: none is declared.
+  duration mAllowedPause{}; ///< 0 if the route declares none.
 
   bool operator==(const stream_times&) const = default;
 };
 
-/// Counts a stream's first event, and whether it or a pause came late.
+/// Records the time to the first event and the longest pause, and counts those
+/// that exceed their limits.
 void
 CountStream(metrics& aMetrics, const stream_times& aTimes);
 
-/// What a datagram to or from another entry carries.
+/// What the bytes of a datagram between gateways are counted as.
 enum class peer_traffic : std::uint8_t
 {
   NewsSent,
@@ -36,14 +37,14 @@
   Received,
 };
 
-/// Counts the bytes that entries exchange, without the heads of packets.
+/// Counts payload bytes of datagrams between gateways, without packet headers.
 void
 CountPeerBytes(metrics& aMetrics, peer_traffic aTraffic, std::size_t aBytes);
 
-/// Logs what this entry knows of the others and of the engines, how old it is,
-/// and what that has cost since its start.
+/// Logs a summary of the known peers and engines, the age of that information,
+/// and the traffic and store calls that it has cost since the start.
 void
-LogFleetStatus(const gateway_state& aBoard, time_point aNow);
+LogFleetStatus(const gateway_state& aState, time_point aNow);
 
 /// Counts a call to the platform's store by its outcome.
 void
--- a/Libraries/LibGateway/LibGateway.h
+++ b/Libraries/LibGateway/LibGateway.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// LibGateway: an entry that forwards requests as they are, straight to the
-/// endpoints. It terminates callers' connections, chooses endpoints, streams
-/// answers back, resumes broken streams, and follows the platform's tables.
+/// LibGateway: a gateway that terminates callers' connections and forwards
+/// requests unchanged and directly to endpoints. It chooses the endpoints,
+/// streams answers back, resumes interrupted streams, and follows the
+/// platform's tables.
 
 #include "LibGateway/Adapter.h"
 #include "LibGateway/Gateway.h"
--- a/Libraries/LibGateway/MemoryHold.cpp
+++ b/Libraries/LibGateway/MemoryHold.cpp
@@ -4,32 +4,33 @@
 
 namespace {
 
-/// An engine frees memory that nobody renews after this. It has to be shorter
-/// than the time that memory may stay set aside without use: an order whose
-/// answer is lost may be carried out later, when nobody knows of it any more.
+/// The engine frees memory whose lease is not renewed for this time. The lease
+/// must be shorter than the time for which memory may stay reserved without
+/// use: a command whose answer is lost may still be carried out later, when no
+/// gateway tracks it any more.
 constexpr duration kLease = std::chrono::milliseconds(3400);
 /// Three renewals may fail before a lease ends.
-constexpr duration kRenewEvery = std::chrono::milliseconds(850);
-constexpr duration kOrderTimeout = std::chrono::milliseconds(400);
+constexpr duration kRenewInterval = std::chrono::milliseconds(850);
+constexpr duration kCommandTimeout = std::chrono::milliseconds(400);
 
 } // namespace
 
 memory_reservation::memory_reservation(event_loop& aLoop,
                                        const gateway_adapter& aAdapter,
-                                       gateway_state& aBoard,
+                                       gateway_state& aState,
                                        std::string aReservation,
-                                       std::vector<endpoint> aHolders,
+                                       std::vector<endpoint> aEngines,
                                        double aTokensEach)
   : mLoop(aLoop)
   , mAdapter(aAdapter)
-  , mBoard(aBoard)
+  , mBoard(aState)
   , mReservation(std::move(aReservation))
   , mTokens(aTokensEach)
 {
-  for (endpoint& one : aHolders) {
+  for (endpoint& one : aEngines) {
     std::unique_ptr<http_caller> caller =
       std::make_unique<http_caller>(mLoop, one.mAddress);
-    mHolders.push_back({ std::move(one), std::move(caller), false });
+    mShares.push_back({ std::move(one), std::move(caller), false });
   }
 }
 
@@ -39,22 +40,22 @@
 }
 
 void
-memory_reservation::Ask(holder& aHolder,
-                        bool aRelease,
-                        std::function<void(reservation_outcome)> aThen)
+memory_reservation::SendCommand(engine_share& aShare,
+                                bool aRelease,
+                                std::function<void(reservation_outcome)> aThen)
 {
-  reservation_command order;
-  order.mEndpointId = aHolder.mEndpoint.mId;
-  order.mReservation = mReservation;
-  order.mRelease = aRelease;
-  order.mTokens = mTokens;
-  order.mLease = kLease;
+  reservation_command command;
+  command.mEndpointId = aShare.mEndpoint.mId;
+  command.mReservation = mReservation;
+  command.mRelease = aRelease;
+  command.mTokens = mTokens;
+  command.mLease = kLease;
   mBoard.mMetrics.Count("gateway_memory_orders_total");
-  // The hold lives until its last order is answered.
+  // Keep this object alive until the last command is answered.
   const std::shared_ptr<memory_reservation> self = shared_from_this();
-  aHolder.mCaller->Call(
-    mAdapter.mWriteReservationCommand(order),
-    kOrderTimeout,
+  aShare.mCaller->Call(
+    mAdapter.mWriteReservationCommand(command),
+    kCommandTimeout,
     [self, then = std::move(aThen)](const http_answer& aAnswer) {
       self->mLoop.DeleteLater(self);
       then(self->mAdapter.mReadReservationAnswer(aAnswer));
@@ -62,34 +63,35 @@
 }
 
 void
-memory_reservation::Acquire(settled aSettled)
+memory_reservation::Acquire(acquired_callback aOnAcquired)
 {
-  mSettled = std::move(aSettled);
-  for (holder& one : mHolders) {
-    Ask(one, false, [this, &one](reservation_outcome aOutcome) {
-      OnGranted(one, aOutcome);
+  mOnAcquired = std::move(aOnAcquired);
+  for (engine_share& one : mShares) {
+    SendCommand(one, false, [this, &one](reservation_outcome aOutcome) {
+      OnReservationAnswer(one, aOutcome);
     });
   }
 }
 
 void
-memory_reservation::OnGranted(holder& aHolder, reservation_outcome aOutcome)
+memory_reservation::OnReservationAnswer(engine_share& aShare,
+                                        reservation_outcome aOutcome)
 {
-  aHolder.mGranted = aOutcome == reservation_outcome::Done;
-  ++mAnswers;
-  if (mReleased || mAnswers < mHolders.size()) {
+  aShare.mGranted = aOutcome == reservation_outcome::Done;
+  ++mAnswerCount;
+  if (mReleased || mAnswerCount < mShares.size()) {
     return;
   }
   bool all = true;
-  for (const holder& one : mHolders) {
+  for (const engine_share& one : mShares) {
     all = all && one.mGranted;
   }
-  const settled notify = std::move(mSettled);
+  const acquired_callback notify = std::move(mOnAcquired);
   if (all) {
-    mTimer = mLoop.After(kRenewEvery, [this]() { Renew(); });
+    mTimer = mLoop.After(kRenewInterval, [this]() { Renew(); });
   } else {
-    // All or nothing: two prompts that each hold a part of what the other
-    // needs would wait for each other for ever.
+    // Two prompts that each keep a part of the memory that the other needs
+    // would deadlock.
     Release();
   }
   notify(all);
@@ -98,9 +100,9 @@
 void
 memory_reservation::Renew()
 {
-  mTimer = mLoop.After(kRenewEvery, [this]() { Renew(); });
-  for (holder& one : mHolders) {
-    Ask(one, false, [this, &one](reservation_outcome aOutcome) {
+  mTimer = mLoop.After(kRenewInterval, [this]() { Renew(); });
+  for (engine_share& one : mShares) {
+    SendCommand(one, false, [this, &one](reservation_outcome aOutcome) {
       if (aOutcome != reservation_outcome::Done && !mReleased) {
         Log(log_level::Warning,
             "memory_not_renewed",
@@ -119,8 +121,8 @@
   }
   mReleased = true;
   mLoop.Cancel(mTimer);
-  for (holder& one : mHolders) {
-    Ask(one, true, [this, &one](reservation_outcome aOutcome) {
+  for (engine_share& one : mShares) {
+    SendCommand(one, true, [this, &one](reservation_outcome aOutcome) {
       if (aOutcome != reservation_outcome::Done) {
         Log(log_level::Info,
             "memory_left_to_its_lease",
--- a/Libraries/LibGateway/MemoryHold.h
+++ b/Libraries/LibGateway/MemoryHold.h
@@ -1,8 +1,10 @@
 #pragma once
 
-/// Memory of several engines, set aside for one prompt that no engine can hold
-/// alone: all of it or nothing, under leases that are renewed while the request
-/// lasts. An entry that dies leaves nothing set aside for longer than a lease.
+/// Reservation of memory on several engines for one prompt that does not fit
+/// into the memory of a single engine. Either all engines grant their share or
+/// everything is released. The reservation is a lease that is renewed while the
+/// request lasts, so a gateway that crashes leaves memory reserved for at most
+/// one lease.
 
 #include "LibGateway/GatewayBoard.h"
 
@@ -12,47 +14,47 @@
   : public std::enable_shared_from_this<memory_reservation>
 {
 public:
-  using settled = std::function<void(bool aGranted)>;
+  using acquired_callback = std::function<void(bool aGranted)>;
 
   memory_reservation(event_loop& aLoop,
                      const gateway_adapter& aAdapter,
-                     gateway_state& aBoard,
+                     gateway_state& aState,
                      std::string aReservation,
-                     std::vector<endpoint> aHolders,
+                     std::vector<endpoint> aEngines,
                      double aTokensEach);
   ~memory_reservation();
   memory_reservation(const memory_reservation&) = delete;
   memory_reservation& operator=(const memory_reservation&) = delete;
 
-  /// Asks all holders at once; `aSettled` is called once, unless `Release`
-  /// comes first.
-  void Acquire(settled aSettled);
-  /// Gives everything back. Goes on by itself until each holder has answered
-  /// or its lease has ended.
+  /// Sends the reservation to all engines at once. `aOnAcquired` is called
+  /// once, unless `Release` is called first.
+  void Acquire(acquired_callback aOnAcquired);
+  /// Releases all memory. The object stays alive until each engine has answered
+  /// the release command or the command has timed out.
   void Release();
   const std::string& Reservation() const { return mReservation; }
 
 private:
-  struct holder
+  struct engine_share
   {
     endpoint mEndpoint;
     std::unique_ptr<http_caller> mCaller;
     bool mGranted = false;
   };
-  void Ask(holder& aHolder,
-           bool aRelease,
-           std::function<void(reservation_outcome)>);
+  void SendCommand(engine_share& aShare,
+                   bool aRelease,
+                   std::function<void(reservation_outcome)>);
   void Renew();
-  void OnGranted(holder& aHolder, reservation_outcome aOutcome);
+  void OnReservationAnswer(engine_share& aShare, reservation_outcome aOutcome);
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
   gateway_state& mBoard;
   std::string mReservation;
-  std::vector<holder> mHolders;
+  std::vector<engine_share> mShares;
   double mTokens = 0;
-  settled mSettled;
-  std::size_t mAnswers = 0;
+  acquired_callback mOnAcquired;
+  std::size_t mAnswerCount = 0;
   bool mReleased = false;
   timer_id mTimer = 0;
 };
