--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -6,7 +6,7 @@
 
 #include "LibGateway/Attempt.h"
 #include "LibGateway/CrashWatch.h"
-#include "LibGateway/MemoryHold.h"
+#include "LibGateway/MemoryReservation.h"
 #include "LibGateway/NewsOutbox.h"
 
 #include <memory>
--- a/Libraries/LibGateway/LibGateway.h
+++ b/Libraries/LibGateway/LibGateway.h
@@ -7,4 +7,4 @@
 
 #include "LibGateway/Adapter.h"
 #include "LibGateway/Gateway.h"
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
