--- a/Tests/Gateway/BeliefTest.cpp
+++ b/Tests/Gateway/BeliefTest.cpp
@@ -112,7 +112,7 @@
     world w;
     w.List("i-second", "desk", w.mSecond.mServer.Address());
     w.Start();
-    w.List("i-desk", "desk", w.mDesk.mServer.Address(), "draining");
+    w.List("i-desk", "desk", w.mDeskEndpoint.mServer.Address(), "draining");
     w.Until(
       [&w]() {
         return w.mGateway->Board()
@@ -124,7 +124,7 @@
       CPPUNIT_ASSERT_EQUAL(
         200U, w.Answered(w.Request("r" + std::to_string(i), "safe")).Status());
     }
-    CPPUNIT_ASSERT(w.mDesk.mHeads.empty());
+    CPPUNIT_ASSERT(w.mDeskEndpoint.mHeads.empty());
   }
 
   void EntryLeavesItsAddress()
@@ -161,7 +161,8 @@
     world w;
     w.mSettings.mPeers.mPort = w.FreePort();
     w.Start();
-    const std::unique_ptr<gateway> second = SecondEntry(w, kNoStore);
+    const std::unique_ptr<gateway> second =
+      StartSecondGateway(w, kUnreachableStore);
     w.Until(
       [&second]() {
         return second->Board().mManifest != nullptr &&
@@ -192,7 +193,8 @@
     w.Start();
     (void)w.Ask(w.Request("r1", "stream", "Token-Usage: 3000,50\r\n"));
     w.Until([&w]() { return w.mModel.mHeads.size() == 1; }, "it is sent");
-    const std::unique_ptr<gateway> second = SecondEntry(w, w.mSettings.mStore);
+    const std::unique_ptr<gateway> second =
+      StartSecondGateway(w, w.mSettings.mStore);
     w.Until(
       [&second]() { return second->Board().mLedger.mPlacements.size() == 1; },
       "the placement of the first entry");
@@ -322,11 +324,12 @@
   void DrainingEntryFinishesAndRefusesLongWork()
   {
     world w;
-    w.mDesk.mAnswer = nullptr;
+    w.mDeskEndpoint.mAnswer = nullptr;
     w.Start();
     standin_caller& flying = w.Ask(w.Request("r1", "safe"));
-    w.Until([&w]() { return w.mDesk.mHeads.size() == 1; }, "it is sent");
-    connection* const first = w.mDesk.mLast;
+    w.Until([&w]() { return w.mDeskEndpoint.mHeads.size() == 1; },
+            "it is sent");
+    connection* const first = w.mDeskEndpoint.mLast;
     w.mGateway->Drain();
     standin_caller probe(w.mLoop, w.mGateway->ReadinessPort());
     probe.Send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -344,11 +347,12 @@
     // A short call still ends in time, so it is served.
     standin_caller& shortCall =
       w.Ask(w.Request("r3", "safe", "Deadline-Ms: 1000\r\n"));
-    w.Until([&w]() { return w.mDesk.mHeads.size() == 2; }, "it is sent");
-    AnswerOk(*w.mDesk.mLast, w.mDesk.mHeads.at(1));
+    w.Until([&w]() { return w.mDeskEndpoint.mHeads.size() == 2; },
+            "it is sent");
+    AnswerOk(*w.mDeskEndpoint.mLast, w.mDeskEndpoint.mHeads.at(1));
     w.Until([&shortCall]() { return shortCall.Ended(); }, "its answer");
     CPPUNIT_ASSERT_EQUAL(200U, shortCall.Status());
-    AnswerOk(*first, w.mDesk.mHeads.at(0));
+    AnswerOk(*first, w.mDeskEndpoint.mHeads.at(0));
     w.Until([&flying]() { return flying.Ended(); }, "the answer");
     CPPUNIT_ASSERT_EQUAL(200U, flying.Status());
     CPPUNIT_ASSERT_EQUAL(std::string("close"), *flying.Field("connection"));
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -70,7 +70,7 @@
     mWorld.mStore.Remove("servers", "i-desk");
     mWorld.mSettings.mPeers.mPort = mWorld.FreePort();
     mWorld.Start();
-    mSecond = SecondEntry(mWorld, mWorld.mSettings.mStore);
+    mSecond = StartSecondGateway(mWorld, mWorld.mSettings.mStore);
     mWorld.Until(
       [this]() {
         return mSecond->Board().mEndpointsKnown &&
@@ -194,7 +194,7 @@
     entries.EndThree();
     const std::size_t sends = entries.mPool.mSends;
     entries.mSecond = nullptr;
-    entries.mSecond = SecondEntry(entries.mWorld, kNoStore);
+    entries.mSecond = StartSecondGateway(entries.mWorld, kUnreachableStore);
     entries.mWorld.Until(
       [&entries]() {
         const gateway_state& board = entries.mSecond->Board();
@@ -226,7 +226,7 @@
     entries.mWorld.mGateway = nullptr;
     entries.mWorld.Start();
     entries.mSecond =
-      SecondEntry(entries.mWorld, entries.mWorld.mStore.Address());
+      StartSecondGateway(entries.mWorld, entries.mWorld.mStore.Address());
     // The first request may come before the table has been read.
     for (int i = 0; i < 4; ++i) {
       (void)entries.Answered(kCrashing);
