--- a/Libraries/LibGateway/Attempt.cpp
+++ b/Libraries/LibGateway/Attempt.cpp
@@ -192,9 +192,9 @@
     Complete();
     return;
   }
-  const bool nothingCame = !mReader.Started();
-  End(mReusedConnection && nothingCame ? attempt_end::StaleConnection
-                                       : attempt_end::ConnectionLost,
+  const bool noBytesReceived = !mReader.Started();
+  End(mReusedConnection && noBytesReceived ? attempt_end::StaleConnection
+                                           : attempt_end::ConnectionLost,
       aEnd == channel_end::Reset ? "reset" : "closed");
 }
 
--- a/Libraries/LibGateway/Attempt.h
+++ b/Libraries/LibGateway/Attempt.h
@@ -11,7 +11,7 @@
 enum class attempt_end : std::uint8_t
 {
   NotConnected,    ///< Nothing reached the endpoint.
-  NotExecuted,     ///< The endpoint states that it did not execute it.
+  NotExecuted,     ///< The endpoint states that it did not run it.
   StaleConnection, ///< A reused connection closed before any byte came.
   ConnectionLost,  ///< The connection ended before the answer did. May have
                    ///< been executed.
--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -53,11 +53,12 @@
 caller_connection::StartIdleTimer()
 {
   mContext.mLoop.Cancel(mTimer);
-  const manifest_pointer& held = mContext.mBoard.mManifest;
+  const manifest_pointer& manifest = mContext.mBoard.mManifest;
   const duration idle =
-    held == nullptr || held->Manifest().mLimits.mIdleTimeout == duration{}
+    manifest == nullptr ||
+        manifest->Manifest().mLimits.mIdleTimeout == duration{}
       ? kDefaultIdleTimeout
-      : held->Manifest().mLimits.mIdleTimeout;
+      : manifest->Manifest().mLimits.mIdleTimeout;
   mTimer = mContext.mLoop.After(idle, [this]() {
     mTimer = 0;
     Close(false);
@@ -132,8 +133,8 @@
   mContext.mLoop.Cancel(mTimer);
   mExchange = std::make_shared<exchange>(
     mContext, *this, mReader.Head(), std::move(mReader.Body()));
-  const std::shared_ptr<exchange> begun = mExchange;
-  begun->Start();
+  const std::shared_ptr<exchange> started = mExchange;
+  started->Start();
 }
 
 void
@@ -192,10 +193,10 @@
 caller_connection::OnEnd(tcp_channel&, channel_end)
 {
   if (mExchange != nullptr) {
-    const std::shared_ptr<exchange> left = std::move(mExchange);
+    const std::shared_ptr<exchange> abandoned = std::move(mExchange);
     mExchange = nullptr;
-    left->OnCallerDisconnected();
-    mContext.mLoop.DeleteLater(left);
+    abandoned->OnCallerDisconnected();
+    mContext.mLoop.DeleteLater(abandoned);
   }
   Close(false);
 }
--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -106,18 +106,19 @@
     case quarantine_verdict::Try:
       break;
   }
-  mContext.mCrashes.ClaimTrial(mDigest, [weak = weak_from_this()](bool aMay) {
-    const std::shared_ptr<exchange> self = weak.lock();
-    if (self == nullptr || self->mState == state::Ended) {
-      return;
-    }
-    if (!aMay) {
-      self->RefuseQuarantined();
-      return;
-    }
-    self->mIsQuarantineTrial = true;
-    self->Dispatch();
-  });
+  mContext.mCrashes.ClaimTrial(
+    mDigest, [weak = weak_from_this()](bool aGranted) {
+      const std::shared_ptr<exchange> self = weak.lock();
+      if (self == nullptr || self->mState == state::Ended) {
+        return;
+      }
+      if (!aGranted) {
+        self->RefuseQuarantined();
+        return;
+      }
+      self->mIsQuarantineTrial = true;
+      self->Dispatch();
+    });
 }
 
 void
@@ -133,13 +134,13 @@
 bool
 exchange::Admit()
 {
-  const outcome<request_info> read = Capture<request_info>(
+  const outcome<request_info> parsed = Capture<request_info>(
     [this]() { return mContext.mAdapter.mReadRequest(mHead); });
-  if (!read) {
-    Answer(read.mFailure);
+  if (!parsed) {
+    Answer(parsed.mFailure);
     return false;
   }
-  mRequestInfo = *read.mValue;
+  mRequestInfo = *parsed.mValue;
   if (mManifest == nullptr) {
     Refuse(
       error_kind::StoreUnavailable, "no_manifest_yet", kRetryAfterNoManifest);
@@ -230,8 +231,8 @@
 exchange::Dispatch()
 {
   // The request may have become quarantined since it was sent last, because it
-  // crashed another endpoint here or at another gateway. A quarantine trial is
-  // sent only once.
+  // ended a third endpoint: under this gateway, or when another caller sent it
+  // through another gateway. A quarantine trial is sent only once.
   const bool mayBeSent =
     mIsQuarantineTrial
       ? !mReachedEndpoint
@@ -288,8 +289,8 @@
     return;
   }
   // The request may have been executed, so the answer must not claim otherwise.
-  const bool late = aKind == error_kind::DeadlineExceeded;
-  Answer({ late ? aKind : error_kind::EndpointFailed,
+  const bool deadlinePassed = aKind == error_kind::DeadlineExceeded;
+  Answer({ deadlinePassed ? aKind : error_kind::EndpointFailed,
            aWhy,
            ran_state::Unknown,
            std::nullopt });
@@ -343,7 +344,7 @@
   if (aOutcome == "answered" && mRoute->mKind == call_kind::Stream) {
     CountStream(mContext.mBoard.mMetrics,
                 { mFirstEventAt - mStarted,
-                  Objective(),
+                  LatencyTarget(),
                   mLongestPause,
                   mRoute->mLongestPause });
   }
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -95,7 +95,7 @@
   /// The latency target of the route. A route without one gets the whole time
   /// limit: a target of 0 would make every answer late and every endpoint
   /// unresponsive.
-  duration Objective() const;
+  duration LatencyTarget() const;
   /// Evaluates the placement again after `kReweighInterval`.
   void PostponePlacement(const engine_choice& aChoice);
   void RefuseOverloaded(const engine_choice& aChoice);
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -42,13 +42,13 @@
 exchange::RecordHealthEvent(known_endpoint& aEndpoint, endpoint_sign aSign)
 {
   const time_point now = mContext.mLoop.Now();
-  const bool was = Avoided(aEndpoint, now);
+  const bool wasAvoided = Avoided(aEndpoint, now);
   NoteSign(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
       aSign == endpoint_sign::Unreachable) {
     mContext.mOutbox.TellTroubled(EngineKey(aEndpoint.mListed.mId));
   }
-  if (!was && Avoided(aEndpoint, now)) {
+  if (!wasAvoided && Avoided(aEndpoint, now)) {
     Log(log_level::Warning,
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
@@ -120,13 +120,13 @@
 void
 exchange::ApplyReportedLimit(const attempt& aAttempt)
 {
-  const answer_info& facts = aAttempt.Info();
+  const answer_info& info = aAttempt.Info();
   known_endpoint* const known = FindEndpoint(aAttempt);
-  if (known == nullptr || facts.mWrongEndpoint) {
+  if (known == nullptr || info.mWrongEndpoint) {
     return;
   }
   endpoint_limit& current = known->mLimit;
-  const bool limited = facts.mLimitPerSecond.has_value();
+  const bool limited = info.mLimitPerSecond.has_value();
   if (!limited && (!current.mPerSecond.has_value() ||
                    aAttempt.SentAt() < current.mObserved)) {
     // Answers on different connections can arrive out of order: the answer to a
@@ -135,7 +135,7 @@
   }
   const time_point now = mContext.mLoop.Now();
   const told_limit limit{ EngineKey(known->mListed.mId),
-                          facts.mLimitPerSecond,
+                          info.mLimitPerSecond,
                           now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
@@ -258,11 +258,11 @@
   mFirstEventAt = mContext.mLoop.Now();
   WriteHead(aAttempt.Head(), body.size());
   mResponse->Write(body);
-  const bool good = aAttempt.Head().mStatus < kFirstError;
+  const bool success = aAttempt.Head().mStatus < kFirstError;
   const std::string why =
-    good ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
+    success ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
   ReleaseAttempt();
-  End(good ? "answered" : "endpoint_failed", why);
+  End(success ? "answered" : "endpoint_failed", why);
 }
 
 void
@@ -305,7 +305,7 @@
         { "at_fault", aAttempt.Info().mFaultyHelperAddress },
         { "after_ms", Milliseconds(mContext.mLoop.Now() - aAttempt.SentAt()) },
         { "last_event", mCursor.LastId().value_or(0) } });
-  const bool elsewhere = aAttempt.Info().mWrongEndpoint;
+  const bool wrongEndpoint = aAttempt.Info().mWrongEndpoint;
   switch (aEnd) {
     case attempt_end::NotConnected:
       RecordHealthEvent(aAttempt, endpoint_sign::Unreachable);
@@ -338,7 +338,7 @@
     case attempt_end::NotExecuted:
       RecordReportedLoad(aAttempt);
       ApplyReportedLimit(aAttempt);
-      if (elsewhere) {
+      if (wrongEndpoint) {
         RecordHealthEvent(aAttempt, endpoint_sign::Elsewhere);
         mContext.mCrashes.OnGone(id, "address_of_another");
       }
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 /// Response timeout of a plain service (one without engines), as a multiple of
-/// the latency target. A retry elsewhere can still answer in time.
+/// the latency target. It leaves enough time for an answer from another
+/// endpoint.
 constexpr double kResponseTimeoutFactor = 0.6;
 /// Refused memory reservations after which a request is refused.
 constexpr std::size_t kMaxMemoryRefusals = 3;
@@ -97,7 +98,7 @@
 }
 
 duration
-exchange::Objective() const
+exchange::LatencyTarget() const
 {
   return mRoute->mObjective > duration::zero() ? mRoute->mObjective
                                                : mDeadline - mStarted;
@@ -111,7 +112,7 @@
   work.mPromptTokens = mRequestInfo.mPromptTokens;
   work.mAnswerTokens = std::min(mRequestInfo.mMaxAnswerTokens,
                                 mService->mEngine->mUsualAnswerTokens);
-  work.mObjective = Objective();
+  work.mObjective = LatencyTarget();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
                          : work.mObjective;
@@ -289,7 +290,7 @@
   StartAttempt(chosen->mListed, {});
   if (mRoute->mKind == call_kind::Idempotent) {
     StartResponseTimer(
-      FromSeconds(kResponseTimeoutFactor * Seconds(Objective())));
+      FromSeconds(kResponseTimeoutFactor * Seconds(LatencyTarget())));
   }
   return true;
 }
@@ -318,13 +319,13 @@
 exchange::StartAttempt(const endpoint& aEndpoint,
                        const std::vector<prefill_helper>& aHelpers)
 {
-  forwarding_info to;
-  to.mEndpointId = aEndpoint.mId;
-  to.mAddress = aEndpoint.mAddress;
-  to.mTimeLeft = TimeLeft();
-  to.mOrganisation = mOrganisation;
-  to.mHelpers = aHelpers;
-  to.mLastEvent =
+  forwarding_info forwarded;
+  forwarded.mEndpointId = aEndpoint.mId;
+  forwarded.mAddress = aEndpoint.mAddress;
+  forwarded.mTimeLeft = TimeLeft();
+  forwarded.mOrganisation = mOrganisation;
+  forwarded.mHelpers = aHelpers;
+  forwarded.mLastEvent =
     mCursor.LastId().has_value() ? mCursor.LastId() : mRequestInfo.mLastEvent;
   mHelperCount = aHelpers.size();
   mAttemptHasEvents = false;
@@ -345,10 +346,12 @@
   // endpoint closed a reused connection at the same moment, it would be unknown
   // whether the call was executed, and the caller would get an error that says
   // so.
-  const bool fresh = mNeedsNewConnection || !IsRetryable();
+  const bool newConnection = mNeedsNewConnection || !IsRetryable();
   mNeedsNewConnection = false;
   mAttempt->Send(
-    mContext.mAdapter.mWriteRequest(mHead, to, mBody.size()), mBody, fresh);
+    mContext.mAdapter.mWriteRequest(mHead, forwarded, mBody.size()),
+    mBody,
+    newConnection);
 }
 
 void
@@ -377,11 +380,11 @@
   if (mAttempt == nullptr || !CanRetryElsewhere() || !ConsumeRetryBudget()) {
     return;
   }
-  const duration reading = PrefillBacklog(*mAttempt);
-  if (reading > kMinPrefillBacklog) {
+  const duration backlog = PrefillBacklog(*mAttempt);
+  if (backlog > kMinPrefillBacklog) {
     // Other prompts were placed there in the meantime: the engine is busy, not
     // unresponsive.
-    StartResponseTimer(reading + kMinPrefillBacklog);
+    StartResponseTimer(backlog + kMinPrefillBacklog);
     return;
   }
   if (IsFullButResponsive(*mAttempt)) {
@@ -432,19 +435,20 @@
   const time_point now = mContext.mLoop.Now();
   const known_endpoint* const known = FindEndpoint(*mAttempt);
   const engine_load* const load = FindEngineLoad(*mAttempt);
-  const bool heard = known != nullptr && known->mHeard != time_point{};
-  Log(log_level::Info,
-      "endpoint_silent",
-      { { "request", mRequestInfo.mId },
-        { "endpoint", mAttempt->Endpoint().mId },
-        { "expected_ms", mExpectedFirstEventMs },
-        { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
-        { "events", mCursor.Count() },
-        { "helpers", mHelperCount },
-        { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
-        { "writing", load == nullptr ? 0 : load->mWriting.size() },
-        { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
-        { "heard_ms", heard ? Milliseconds(now - known->mHeard) : -1 } });
+  const bool hasBeenHeard = known != nullptr && known->mHeard != time_point{};
+  Log(
+    log_level::Info,
+    "endpoint_silent",
+    { { "request", mRequestInfo.mId },
+      { "endpoint", mAttempt->Endpoint().mId },
+      { "expected_ms", mExpectedFirstEventMs },
+      { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
+      { "events", mCursor.Count() },
+      { "helpers", mHelperCount },
+      { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
+      { "writing", load == nullptr ? 0 : load->mWriting.size() },
+      { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
+      { "heard_ms", hasBeenHeard ? Milliseconds(now - known->mHeard) : -1 } });
 }
 
 duration
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -166,13 +166,13 @@
 void
 LogFleetStatus(const gateway_state& aState, time_point aNow)
 {
-  const metrics& counted = aState.mMetrics;
+  const metrics& counters = aState.mMetrics;
   std::int64_t failedCalls = 0;
   for (const table_read_result::outcome failed :
        { table_read_result::outcome::HistoryLost,
          table_read_result::outcome::Refused,
          table_read_result::outcome::NoAnswer }) {
-    failedCalls += CounterValue(counted, StoreCallsSeries(failed));
+    failedCalls += CounterValue(counters, StoreCallsSeries(failed));
   }
   Log(
     log_level::Info,
@@ -184,18 +184,18 @@
       { "endpoints_preferred", CountPreferred(aState.mEndpoints) },
       { "placed", aState.mLastPlacementNumber },
       { "placed_heard",
-        CounterValue(counted, "gateway_placements_heard_total") },
+        CounterValue(counters, "gateway_placements_heard_total") },
       { "news_sent_bytes",
-        CounterValue(counted, PeerBytesSeries(peer_traffic::NewsSent)) },
+        CounterValue(counters, PeerBytesSeries(peer_traffic::NewsSent)) },
       { "beats_sent_bytes",
-        CounterValue(counted, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
+        CounterValue(counters, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
       { "crashes_sent_bytes",
-        CounterValue(counted, PeerBytesSeries(peer_traffic::CrashesSent)) },
+        CounterValue(counters, PeerBytesSeries(peer_traffic::CrashesSent)) },
       { "held", aState.mQuarantine.mHeld.size() },
       { "received_bytes",
-        CounterValue(counted, PeerBytesSeries(peer_traffic::Received)) },
+        CounterValue(counters, PeerBytesSeries(peer_traffic::Received)) },
       { "store_calls",
-        CounterValue(counted,
+        CounterValue(counters,
                      StoreCallsSeries(table_read_result::outcome::Good)) },
       { "store_calls_failed", failedCalls } });
 }
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A gateway between callers and endpoints that answer as a test says.
+/// Fixtures with a gateway between callers and endpoints whose answers a test
+/// defines.
 
 #include "Standin.h"
 
@@ -10,7 +11,7 @@
 
 using connection = standin_server::connection;
 
-/// An endpoint that keeps what it was sent and answers as it is told.
+/// An endpoint that records its requests and answers them with `mAnswer`.
 struct endpoint_fixture
 {
   explicit endpoint_fixture(event_loop& aLoop)
@@ -48,7 +49,7 @@
   aConnection.Next();
 }
 
-/// Names a limit of one request per second for all entries together.
+/// Reports a limit of one request per second for all gateways together.
 inline void
 AnswerLimited(connection& aConnection, const http_head& aHead)
 {
@@ -67,6 +68,8 @@
   aConnection.Next();
 }
 
+/// A gateway with one endpoint of the service "desk" listed. Tests list the
+/// other endpoints themselves.
 struct world : gateway_world
 {
   world()
@@ -96,7 +99,7 @@
     return caller;
   }
 
-  /// What the metrics address answers.
+  /// Scrapes the metrics.
   std::string Metrics()
   {
     standin_caller reader(mLoop, mGateway->MetricsPort());
@@ -112,11 +115,12 @@
   std::vector<std::unique_ptr<standin_caller>> mCallers;
 };
 
-/// Where nothing answers.
+/// An address of a store at which nothing listens.
 inline const ip_address kUnreachableStore{ "127.0.0.3", 9 };
 
-/// A second entry, on another loopback address, that knows the first. Both need
-/// the same port for peers, which the first one's settings name.
+/// Starts a second gateway, on another loopback address, with the first one as
+/// its seed. Both need the same peer port, which the settings of the first one
+/// define.
 inline std::unique_ptr<gateway>
 StartSecondGateway(world& aWorld, const ip_address& aStore)
 {
--- a/Tests/Gateway/ForwardingTest.cpp
+++ b/Tests/Gateway/ForwardingTest.cpp
@@ -9,37 +9,37 @@
 class forwarding_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(forwarding_test);
-  CPPUNIT_TEST(ForwardsUnchangedAndAddsItsOwn);
-  CPPUNIT_TEST(UnknownRouteAndKey);
-  CPPUNIT_TEST(NothingIsServedBeforeAManifest);
-  CPPUNIT_TEST(KeptConnectionServesManyRequests);
-  CPPUNIT_TEST(KeptConnectionsAreShared);
-  CPPUNIT_TEST(EarlyAnswerLeavesTheRestOfTheBodyInPlace);
-  CPPUNIT_TEST(SecondAnswerBelongsToNobody);
-  CPPUNIT_TEST(ForeignAnswerIsNotPassedOn);
-  CPPUNIT_TEST(UnprovenAnswerIsNoSuccess);
-  CPPUNIT_TEST(ShortAnswerIsNoSuccess);
-  CPPUNIT_TEST(AnswerWithoutLengthIsWhole);
+  CPPUNIT_TEST(ForwardsRequestAndAddsGatewayFields);
+  CPPUNIT_TEST(RefusesUnknownRouteAndKey);
+  CPPUNIT_TEST(RefusesRequestsBeforeAManifest);
+  CPPUNIT_TEST(ReusesEndpointConnection);
+  CPPUNIT_TEST(IdleConnectionsAreLimitedPerGateway);
+  CPPUNIT_TEST(ConnectionIsNotReusedAfterEarlyAnswer);
+  CPPUNIT_TEST(SecondAnswerIsDiscarded);
+  CPPUNIT_TEST(AnswerToAnotherRequestIsNotForwarded);
+  CPPUNIT_TEST(AnswerWithoutSealFails);
+  CPPUNIT_TEST(TruncatedAnswerFails);
+  CPPUNIT_TEST(AnswerWithoutLengthEndsWithConnection);
   CPPUNIT_TEST(SmuggledRequestIsRefused);
-  CPPUNIT_TEST(RequestsAheadAreAnsweredInOrder);
-  CPPUNIT_TEST(GuardedCallRunsOnce);
-  CPPUNIT_TEST(RefusedByEndpointIsTold);
-  CPPUNIT_TEST(AddressOfAnotherIsTriedElsewhere);
-  CPPUNIT_TEST(RepeatsOnlyWithinAttempts);
-  CPPUNIT_TEST(SlowEndpointIsBetterThanNone);
-  CPPUNIT_TEST(RouteWithoutAnObjectiveIsServed);
-  CPPUNIT_TEST(FailureIsForwardedWhereNobodyElseIs);
+  CPPUNIT_TEST(PipelinedRequestsAreAnsweredInOrder);
+  CPPUNIT_TEST(AtMostOnceCallIsSentOnce);
+  CPPUNIT_TEST(RefusalByEndpointIsReported);
+  CPPUNIT_TEST(MisdirectedRequestIsRetriedElsewhere);
+  CPPUNIT_TEST(RetriesOnlyUpToMaxAttempts);
+  CPPUNIT_TEST(WaitsForSlowEndpointWithoutAlternative);
+  CPPUNIT_TEST(RouteWithoutLatencyTargetIsServed);
+  CPPUNIT_TEST(FailureIsForwardedWithoutAlternative);
   CPPUNIT_TEST(DeadlineEndsARequest);
-  CPPUNIT_TEST(CallerThatLeavesIsNotWorkedFor);
-  CPPUNIT_TEST(EndpointGetsNoMoreThanItsLimit);
-  CPPUNIT_TEST(RequestThatNoLimitAdmitsIsRefusedAtOnce);
-  CPPUNIT_TEST(LimitEndsWhenAnAnswerNamesNone);
-  CPPUNIT_TEST(EntryKeepsToALimitToldByAPeer);
+  CPPUNIT_TEST(DisconnectedCallerCancelsRequest);
+  CPPUNIT_TEST(EndpointLimitIsRespected);
+  CPPUNIT_TEST(RequestAboveAllLimitsIsRefusedAtOnce);
+  CPPUNIT_TEST(LimitEndsWhenAnAnswerReportsNone);
+  CPPUNIT_TEST(GatewayAppliesLimitReceivedFromPeer);
   CPPUNIT_TEST(InvalidLimitIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ForwardsUnchangedAndAddsItsOwn()
+  void ForwardsRequestAndAddsGatewayFields()
   {
     world w;
     w.Start();
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(left > 0 && left <= 4000);
   }
 
-  void UnknownRouteAndKey()
+  void RefusesUnknownRouteAndKey()
   {
     world w;
     w.Start();
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(w.mDeskEndpoint.mHeads.empty());
   }
 
-  void NothingIsServedBeforeAManifest()
+  void RefusesRequestsBeforeAManifest()
   {
     world w;
     w.mStore.SetMood(standin_store::mood::Refusing);
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, w.Answered(w.Request("r2", "safe")).Status());
   }
 
-  void KeptConnectionServesManyRequests()
+  void ReusesEndpointConnection()
   {
     world w;
     w.Start();
@@ -120,13 +120,15 @@
                          w.mDeskEndpoint.mServer.Connections().size());
   }
 
-  /// Symptom: an endpoint resets new connections while it is hardly busy.
-  /// Sequence: dozens of entries keep idle connections from the last burst.
-  /// Cause: each keeps what it likes of what all may have together.
-  void KeptConnectionsAreShared()
+  /// Guards against an endpoint that resets new connections while it is hardly
+  /// busy. An endpoint limits its connections from all callers. If each gateway
+  /// kept as many idle connections as it likes, dozens of gateways would use up
+  /// that limit with idle connections from the last burst.
+  void IdleConnectionsAreLimitedPerGateway()
   {
     world w;
-    // The endpoint takes 100 connections; 25 entries may keep 50 of them idle.
+    // The endpoint accepts 100 connections; the 25 gateways may together keep
+    // 50 of them idle.
     for (int i = 0; i < 24; ++i) {
       w.mStore.Put("entries", "127.0.1." + std::to_string(i), "entry");
     }
@@ -138,7 +140,7 @@
     };
     w.Start();
     w.Until([&w]() { return w.mGateway->Board().mEntriesListed == 25; },
-            "the entries are known");
+            "the gateways are listed");
     std::vector<standin_caller*> callers;
     callers.reserve(6);
     for (int i = 0; i < 6; ++i) {
@@ -156,8 +158,8 @@
             "four of six connections are closed");
   }
 
-  /// An endpoint that answers as soon as it has a request's head, and reads on
-  /// when it is told to.
+  /// An endpoint that answers as soon as it has the head of a request, and
+  /// reads the rest only when the test says so.
   struct early_answering_endpoint final : channel_owner
   {
     explicit early_answering_endpoint(event_loop& aLoop)
@@ -203,41 +205,43 @@
     std::unique_ptr<tcp_listener> mListener;
   };
 
-  /// Symptom: a lookup waits for a second and is sent twice. Sequence: an
-  /// endpoint refuses a long upload before it has read all of it and keeps the
-  /// connection without reading on; the next request is sent on it, behind the
-  /// rest. Cause: a connection on which a rest was still due was taken for
-  /// idle. Besides: nothing but the body may ever stand where that rest is due.
-  void EarlyAnswerLeavesTheRestOfTheBodyInPlace()
+  /// Guards against sending a request behind the unsent rest of an earlier one.
+  /// An endpoint may refuse a long upload before it has read all of it and keep
+  /// the connection open without reading on. If the gateway took that
+  /// connection for idle, the next request would wait there for a second and
+  /// then be sent again. Also checks that only the rest of the body follows on
+  /// that connection.
+  void ConnectionIsNotReusedAfterEarlyAnswer()
   {
     world w;
-    early_answering_endpoint hasty(w.mLoop);
+    early_answering_endpoint earlyEndpoint(w.mLoop);
     w.mStore.Remove("servers", "i-desk");
-    w.List("i-hasty", "desk", { "127.0.0.1", hasty.mListener->Port() });
+    w.List("i-hasty", "desk", { "127.0.0.1", earlyEndpoint.mListener->Port() });
     w.Start();
     const std::string body(3000000, 'b');
     standin_caller& caller = w.Ask(w.Request("r1", "safe", "", body));
     w.Until([&caller]() { return caller.Answered(); }, "the early answer");
     CPPUNIT_ASSERT_EQUAL(413U, caller.Status());
     w.Ask(w.Request("r2", "safe"));
-    w.Until([&hasty]() { return hasty.mChannels.size() == 2; },
+    w.Until([&earlyEndpoint]() { return earlyEndpoint.mChannels.size() == 2; },
             "a connection of its own for the next request");
-    // At once, not after it was sent behind the rest and given up there.
+    // The request must not have been sent on the first connection and retried.
     CPPUNIT_ASSERT_EQUAL(
       0.0, w.mGateway->Board().mMetrics.Value("gateway_repeats_total"));
-    hasty.mChannels.front()->PauseReading(false);
+    earlyEndpoint.mChannels.front()->PauseReading(false);
     w.For(milliseconds(200));
-    const std::string& first = hasty.mSeen[hasty.mChannels.front().get()];
+    const std::string& first =
+      earlyEndpoint.mSeen[earlyEndpoint.mChannels.front().get()];
     CPPUNIT_ASSERT(first.find("r2") == std::string::npos);
     const std::size_t head = first.find("\r\n\r\n") + 4;
     CPPUNIT_ASSERT(first.find_first_not_of('b', head) == std::string::npos);
   }
 
-  /// Symptom: a caller gets the answer to somebody else's request.
-  /// Sequence: an endpoint answers twice on a kept connection; the next request
-  /// goes out on it and the second answer is taken for its own.
-  /// Cause: a connection with bytes that nobody asked for was used again.
-  void SecondAnswerBelongsToNobody()
+  /// Guards against answering a caller with the answer to another request. An
+  /// endpoint may answer twice on a reused connection. If the gateway reused a
+  /// connection with unexpected bytes, it would take the second answer for that
+  /// of the next request.
+  void SecondAnswerIsDiscarded()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
@@ -257,7 +261,7 @@
                          w.mDeskEndpoint.mServer.Connections().size());
   }
 
-  void ForeignAnswerIsNotPassedOn()
+  void AnswerToAnotherRequestIsNotForwarded()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection, const http_head&) {
@@ -271,7 +275,7 @@
     CPPUNIT_ASSERT(caller.Seen().find("secret") == std::string::npos);
   }
 
-  void UnprovenAnswerIsNoSuccess()
+  void AnswerWithoutSealFails()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
@@ -285,7 +289,7 @@
     CPPUNIT_ASSERT_EQUAL(502U, w.Answered(w.Request("r1", "unsafe")).Status());
   }
 
-  void ShortAnswerIsNoSuccess()
+  void TruncatedAnswerFails()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
@@ -298,7 +302,7 @@
     CPPUNIT_ASSERT_EQUAL(502U, w.Answered(w.Request("r1", "unsafe")).Status());
   }
 
-  void AnswerWithoutLengthIsWhole()
+  void AnswerWithoutLengthEndsWithConnection()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
@@ -327,7 +331,7 @@
     CPPUNIT_ASSERT(w.mDeskEndpoint.mHeads.empty());
   }
 
-  void RequestsAheadAreAnsweredInOrder()
+  void PipelinedRequestsAreAnsweredInOrder()
   {
     world w;
     w.Start();
@@ -342,12 +346,12 @@
                    caller.Seen().find("Request-Id: r2"));
   }
 
-  /// Symptom: a rights holder is billed twice.
-  /// Sequence: a call that may not be repeated is sent; the endpoint runs it
-  /// and its connection breaks before the answer.
-  /// Cause: the entry sends it again, or tells the caller that it did not run,
-  /// so that the caller does.
-  void GuardedCallRunsOnce()
+  /// Guards against executing a call twice that must be executed at most once,
+  /// for example billing a rights holder. The endpoint executes the call and
+  /// its connection breaks before the answer. The gateway must neither send the
+  /// call again nor tell the caller that it was not executed, because the
+  /// caller would then repeat it.
+  void AtMostOnceCallIsSentOnce()
   {
     world w;
     w.List("i-second", "desk", w.mSecond.mServer.Address());
@@ -364,7 +368,7 @@
       std::size_t(1), w.mDeskEndpoint.mHeads.size() + w.mSecond.mHeads.size());
   }
 
-  void RefusedByEndpointIsTold()
+  void RefusalByEndpointIsReported()
   {
     world w;
     w.mDeskEndpoint.mAnswer = &AnswerRefused;
@@ -375,7 +379,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), w.mDeskEndpoint.mHeads.size());
   }
 
-  void AddressOfAnotherIsTriedElsewhere()
+  void MisdirectedRequestIsRetriedElsewhere()
   {
     world w;
     w.List("i-second", "desk", w.mSecond.mServer.Address());
@@ -389,11 +393,11 @@
       CPPUNIT_ASSERT_EQUAL(
         200U, w.Answered(w.Request("r" + std::to_string(i), "safe")).Status());
     }
-    // It is avoided after the first such answer.
+    // The gateway avoids the endpoint after the first such answer.
     CPPUNIT_ASSERT(w.mDeskEndpoint.mHeads.size() <= 1);
   }
 
-  void RepeatsOnlyWithinAttempts()
+  void RetriesOnlyUpToMaxAttempts()
   {
     world w;
     w.List("i-second", "desk", w.mSecond.mServer.Address());
@@ -416,10 +420,10 @@
                            w.mSecond.mHeads.size() + third.mHeads.size());
   }
 
-  /// Symptom: a call fails though its endpoint would have answered. Sequence:
-  /// the only endpoint is silent for a while; the attempt is given up to ask
-  /// another. Cause: nobody looked whether there is another.
-  void SlowEndpointIsBetterThanNone()
+  /// Guards against a call that fails although its endpoint would have
+  /// answered: the only endpoint does not respond for a while, and the gateway
+  /// ends the attempt without checking whether there is another endpoint.
+  void WaitsForSlowEndpointWithoutAlternative()
   {
     world w;
     w.mDeskEndpoint.mAnswer = nullptr;
@@ -433,7 +437,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, caller.Status());
   }
 
-  void FailureIsForwardedWhereNobodyElseIs()
+  void FailureIsForwardedWithoutAlternative()
   {
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
@@ -462,10 +466,10 @@
             "the endpoint's connection is closed");
   }
 
-  /// Symptom: engines work for callers that are gone. Sequence: a caller
-  /// closes its connection while an endpoint works. Cause: the entry notices
+  /// Guards against endpoints that work for callers that have disconnected. The
+  /// gateway has to detect the closed connection while the endpoint works, not
   /// only when it writes the answer.
-  void CallerThatLeavesIsNotWorkedFor()
+  void DisconnectedCallerCancelsRequest()
   {
     world w;
     w.mDeskEndpoint.mAnswer = nullptr;
@@ -480,7 +484,7 @@
   }
 
   /// Guards against sending an endpoint more requests than its limit allows.
-  void EndpointGetsNoMoreThanItsLimit()
+  void EndpointLimitIsRespected()
   {
     // 1.5 times the limit of 1 request per second over 4 s, plus 5.
     constexpr std::size_t kAllowed = 11;
@@ -501,7 +505,7 @@
   }
 
   /// Guards against queueing requests for a limited endpoint.
-  void RequestThatNoLimitAdmitsIsRefusedAtOnce()
+  void RequestAboveAllLimitsIsRefusedAtOnce()
   {
     world w;
     w.mDeskEndpoint.mAnswer = &AnswerLimited;
@@ -513,8 +517,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, w.mDeskEndpoint.mHeads.size());
   }
 
-  /// Guards against applying a limit after the endpoint has stopped naming it.
-  void LimitEndsWhenAnAnswerNamesNone()
+  /// Guards against applying a limit after the endpoint has stopped reporting
+  /// it.
+  void LimitEndsWhenAnAnswerReportsNone()
   {
     world w;
     w.mDeskEndpoint.mAnswer = &AnswerLimited;
@@ -557,8 +562,8 @@
     }
   }
 
-  /// Guards against entries that learn a limit only from their own requests.
-  void EntryKeepsToALimitToldByAPeer()
+  /// Guards against gateways that learn a limit only from their own requests.
+  void GatewayAppliesLimitReceivedFromPeer()
   {
     world w;
     w.mDeskEndpoint.mAnswer = &AnswerLimited;
@@ -572,7 +577,7 @@
                second->Board().mPeers.size() == 1 &&
                w.mGateway->Board().mPeers.size() == 1;
       },
-      "both entries know each other");
+      "both gateways know each other");
     w.Answered(w.Request("a", "safe"));
     const std::size_t before = w.mDeskEndpoint.mHeads.size();
     w.Until(
@@ -581,7 +586,7 @@
           .mEndpoints.mEndpoints.at("i-desk")
           .mLimit.mPerSecond.has_value();
       },
-      "the limit is told");
+      "the limit is broadcast");
     standin_caller caller(w.mLoop, { "127.0.0.2", second->CallersPort() });
     caller.Send(w.Request("b", "safe"));
     w.Until([&caller]() { return caller.Answered(); }, "an answer");
@@ -589,11 +594,11 @@
     CPPUNIT_ASSERT_EQUAL(before, w.mDeskEndpoint.mHeads.size());
   }
 
-  /// Symptom: on a route that declares no objective every lookup runs twice and
-  /// every review is refused. Sequence: none is needed. Cause: an objective of
-  /// 0 made an endpoint silent at once, and any first event too late to be
-  /// worth its reading.
-  void RouteWithoutAnObjectiveIsServed()
+  /// Guards against a latency target of 0 on a route that declares none. With
+  /// 0, each endpoint would count as unresponsive at once, so that every lookup
+  /// was sent twice, and every first event would count as too late to be worth
+  /// its prefill, so that every review was refused.
+  void RouteWithoutLatencyTargetIsServed()
   {
     world w;
     w.List("i-second", "desk", w.mSecond.mServer.Address());
