--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -151,8 +151,8 @@
   void RefuseUnplaced();
   /// Records that the endpoint responded just now.
   void RecordEndpointActivity(const attempt& aAttempt);
-  void RecordHealthEvent(const attempt& aAttempt, endpoint_sign aSign);
-  void RecordHealthEvent(known_endpoint& aEndpoint, endpoint_sign aSign);
+  void UpdateEndpointHealth(const attempt& aAttempt, endpoint_sign aSign);
+  void UpdateEndpointHealth(known_endpoint& aEndpoint, endpoint_sign aSign);
   /// The helper that a refusal names: an engine that refused to prefill a part
   /// of the prompt. Null if the refusal names no other engine than the one that
   /// sent it.
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -31,15 +31,15 @@
 } // namespace
 
 void
-exchange::RecordHealthEvent(const attempt& aAttempt, endpoint_sign aSign)
+exchange::UpdateEndpointHealth(const attempt& aAttempt, endpoint_sign aSign)
 {
   if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
-    RecordHealthEvent(*known, aSign);
+    UpdateEndpointHealth(*known, aSign);
   }
 }
 
 void
-exchange::RecordHealthEvent(known_endpoint& aEndpoint, endpoint_sign aSign)
+exchange::UpdateEndpointHealth(known_endpoint& aEndpoint, endpoint_sign aSign)
 {
   const time_point now = mContext.mLoop.Now();
   const bool wasAvoided = Avoided(aEndpoint, now);
@@ -78,7 +78,7 @@
 void
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
-  RecordHealthEvent(aHelper, endpoint_sign::Unwilling);
+  UpdateEndpointHealth(aHelper, endpoint_sign::Unwilling);
   mContext.mOutbox.TellUnwilling(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
   // The engine that received the prompt did no work and may receive it again,
@@ -218,7 +218,7 @@
   const unsigned status = aAttempt.Head().mStatus;
   mContext.mCrashes.OnServed(mDigest);
   if (status >= kFirstServerError) {
-    RecordHealthEvent(aAttempt, endpoint_sign::Failed);
+    UpdateEndpointHealth(aAttempt, endpoint_sign::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
       mMayHaveRun = true;
       ReleaseAttempt();
@@ -226,7 +226,7 @@
       return;
     }
   } else {
-    RecordHealthEvent(aAttempt, endpoint_sign::Answered);
+    UpdateEndpointHealth(aAttempt, endpoint_sign::Answered);
   }
   if (!mStreaming) {
     if (mHeadWritten) {
@@ -308,7 +308,7 @@
   const bool wrongEndpoint = aAttempt.Info().mWrongEndpoint;
   switch (aEnd) {
     case attempt_end::NotConnected:
-      RecordHealthEvent(aAttempt, endpoint_sign::Unreachable);
+      UpdateEndpointHealth(aAttempt, endpoint_sign::Unreachable);
       if (aAttempt.ConnectionRefused()) {
         mContext.mCrashes.OnGone(id, "refused");
       }
@@ -339,7 +339,7 @@
       RecordReportedLoad(aAttempt);
       ApplyReportedLimit(aAttempt);
       if (wrongEndpoint) {
-        RecordHealthEvent(aAttempt, endpoint_sign::Elsewhere);
+        UpdateEndpointHealth(aAttempt, endpoint_sign::Elsewhere);
         mContext.mCrashes.OnGone(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
@@ -359,7 +359,7 @@
       ReportUnfinishedAttempt(aAttempt, true);
       [[fallthrough]];
     case attempt_end::InvalidAnswer:
-      RecordHealthEvent(aAttempt, endpoint_sign::Broke);
+      UpdateEndpointHealth(aAttempt, endpoint_sign::Broke);
       mMayHaveRun = true;
       ReleaseAttempt();
       if (CanRetryElsewhere() && ConsumeRetryBudget()) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -395,7 +395,7 @@
     return;
   }
   LogResponseTimeout();
-  RecordHealthEvent(*mAttempt, endpoint_sign::Silent);
+  UpdateEndpointHealth(*mAttempt, endpoint_sign::Silent);
   ReportUnfinishedAttempt(*mAttempt, true);
   mMayHaveRun = mMayHaveRun || mAttempt->WasSent();
   ReleaseAttempt();
