--- a/Libraries/LibGateway/Adapter.h
+++ b/Libraries/LibGateway/Adapter.h
@@ -116,7 +116,7 @@
   std::string mManifestTable;
   std::string mManifestKey;
   std::string mEndpointTable;
-  std::string mEntryTable; ///< Addresses of all gateways.
+  std::string mGatewayTable; ///< Addresses of all gateways.
   std::string mQuarantineTable;
 
   result<request_info> (*mReadRequest)(const http_head&) = nullptr;
--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashWatch.cpp
@@ -111,7 +111,7 @@
   , mSettings(aSettings)
   , mBoard(aBoard)
   , mConnections(aConnections)
-  , mOutbox(aOutbox)
+  , mGossipSender(aOutbox)
   , mTable(aLoop, aSettings, aAdapter, aBoard)
 {
 }
@@ -271,7 +271,7 @@
     return;
   }
   mReported[aReport.mRequest] = now;
-  mOutbox.TellCrash(aReport);
+  mGossipSender.TellCrash(aReport);
   if (effect == crash_effect::Held) {
     OnHeld(aReport.mRequest, "");
   }
@@ -324,7 +324,7 @@
     return;
   }
   LogCleared(log_level::Warning, aRequest, "", held);
-  mOutbox.TellCleared(aRequest);
+  mGossipSender.TellCleared(aRequest);
   if (held) {
     mRows.erase(aRequest);
     mTable.Remove(aRequest);
@@ -373,7 +373,7 @@
   time_point& told = mTold[aHost];
   if (now - told >= kTellAgain) {
     told = now;
-    mOutbox.TellHeld(AllHeld(mBoard.mQuarantine, now), aHost);
+    mGossipSender.TellHeld(AllHeld(mBoard.mQuarantine, now), aHost);
   }
 }
 
@@ -438,7 +438,7 @@
       mBoard.mMetrics.Count(Labelled(
         "gateway_quarantine_trials_total", "granted", granted ? "1" : "0"));
       if (granted) {
-        mOutbox.TellHeldToAll({ { aRequest, trial, duration::zero() } });
+        mGossipSender.TellHeldToAll({ { aRequest, trial, duration::zero() } });
       }
       then(granted);
     });
@@ -450,7 +450,7 @@
   const time_point now = mLoop.Now();
   for (const request_digest request : TakeDue(mRefutationsDue, now)) {
     if (ServedLately(mBoard.mQuarantine, request, now)) {
-      mOutbox.TellCleared(request);
+      mGossipSender.TellCleared(request);
     }
   }
   for (const request_digest request : TakeDue(mRowsDue, now)) {
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashWatch.h
@@ -98,7 +98,7 @@
   const gateway_settings& mSettings;
   gateway_state& mBoard;
   endpoint_connection_pool& mConnections;
-  news_outbox& mOutbox;
+  news_outbox& mGossipSender;
   quarantine_table mTable;
   std::map<std::string, std::vector<open_case>> mCases; ///< By endpoint.
   std::map<std::string, time_point> mEnded; ///< Endpoints, when found out.
--- a/Libraries/LibGateway/EntryRoll.cpp
+++ b/Libraries/LibGateway/EntryRoll.cpp
@@ -33,8 +33,9 @@
 void
 entry_roll::Register()
 {
-  mCaller.Call(mAdapter.mWriteRow(
-                 mAdapter.mEntryTable, mSettings.mPeers.mHost, mSettings.mName),
+  mCaller.Call(mAdapter.mWriteRow(mAdapter.mGatewayTable,
+                                  mSettings.mPeers.mHost,
+                                  mSettings.mName),
                kTimeout,
                [this](const http_answer& aAnswer) {
                  if (aAnswer.mStatus == kGood) {
@@ -49,7 +50,7 @@
 entry_roll::Learn(const std::string& aFromKey)
 {
   mCaller.Call(
-    mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
+    mAdapter.mReadTable(mAdapter.mGatewayTable, aFromKey),
     kTimeout,
     [this, aFromKey](const http_answer& aAnswer) {
       const table_read_result reading = mAdapter.mDecodeTable(aAnswer);
@@ -65,8 +66,8 @@
         Learn(NextKey(reading));
         return;
       }
-      mBoard.mEntriesListed = mHosts.size();
-      mBoard.mEntriesKnown = true;
+      mBoard.mListedGatewayCount = mHosts.size();
+      mBoard.mGatewaysLoaded = true;
       mLearnt(mHosts);
     });
 }
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -21,7 +21,7 @@
   const gateway_adapter& mAdapter;
   gateway_state& mBoard;
   endpoint_connection_pool& mConnections;
-  news_outbox& mOutbox;
+  news_outbox& mGossipSender;
   crash_watch& mCrashes;
 };
 
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -46,7 +46,7 @@
   NoteSign(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
       aSign == endpoint_sign::Unreachable) {
-    mContext.mOutbox.TellTroubled(EngineKey(aEndpoint.mListed.mId));
+    mContext.mGossipSender.TellTroubled(EngineKey(aEndpoint.mListed.mId));
   }
   if (!wasAvoided && Avoided(aEndpoint, now)) {
     Log(log_level::Warning,
@@ -79,7 +79,7 @@
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
   UpdateEndpointHealth(aHelper, endpoint_sign::Unwilling);
-  mContext.mOutbox.TellUnwilling(EngineKey(aHelper.mListed.mId));
+  mContext.mGossipSender.TellUnwilling(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
   // The engine that received the prompt did no work and may receive it again,
   // so this does not count as one of the attempts that the route allows.
@@ -140,7 +140,7 @@
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
   if (MarkLimitToldIfDue(current, changed, now)) {
-    mContext.mOutbox.TellLimit(limit);
+    mContext.mGossipSender.TellLimit(limit);
   }
 }
 
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -118,7 +118,7 @@
                          : work.mObjective;
   work.mWorth = WorthOfWork(work.mPromptTokens);
   work.mElapsed = mContext.mLoop.Now() - mStarted;
-  work.mOrderSeed = mContext.mBoard.mBoot;
+  work.mOrderSeed = mContext.mBoard.mGatewayIncarnation;
   return work;
 }
 
@@ -183,12 +183,14 @@
 {
   gateway_state& shared = mContext.mBoard;
   placement placed = PlacementOf(
-    aChoice, aWork, PlacementKey(shared.mBoot, ++shared.mLastPlacementNumber));
-  placed.mOwner = shared.mBoot;
+    aChoice,
+    aWork,
+    PlacementKey(shared.mGatewayIncarnation, ++shared.mLastPlacementNumber));
+  placed.mOwner = shared.mGatewayIncarnation;
   placed.mBegan = mStarted;
   placed.mExpires = mDeadline;
   NotePlaced(shared.mLedger, placed, mContext.mLoop.Now());
-  mContext.mOutbox.TellPlaced(placed);
+  mContext.mGossipSender.TellPlaced(placed);
   mPlacement = placed.mKey;
   mExpectedFirstEventMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
@@ -527,7 +529,8 @@
       mAttemptHasEvents ? placement_end::Read : placement_end::Unread;
     const auto placed = mContext.mBoard.mLedger.mPlacements.find(*mPlacement);
     if (placed != mContext.mBoard.mLedger.mPlacements.end()) {
-      mContext.mOutbox.TellEnded(*mPlacement, end, placed->second.mEngines);
+      mContext.mGossipSender.TellEnded(
+        *mPlacement, end, placed->second.mEngines);
     }
     NoteEnded(mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
     mPlacement.reset();
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -63,22 +63,22 @@
   , mSettings(aSettings)
   , mAdapter(aAdapter)
   , mConnections(aLoop, mBoard)
-  , mOutbox(aLoop, mSettings, mBoard)
-  , mCrashes(aLoop, mSettings, mAdapter, mBoard, mConnections, mOutbox)
+  , mGossipSender(aLoop, mSettings, mBoard)
+  , mCrashes(aLoop, mSettings, mAdapter, mBoard, mConnections, mGossipSender)
   , mPeers(aLoop,
            mSettings,
            mBoard,
-           mOutbox,
+           mGossipSender,
            mCrashes,
            [this](belief aBelief, duration aPatience) {
              OnPeerAhead(aBelief, aPatience);
            })
-  , mPeerBeliefs(aLoop, mSettings)
-  , mContext{ mLoop,        mSettings, mAdapter, mBoard,
-              mConnections, mOutbox,   mCrashes }
+  , mSnapshotExchange(aLoop, mSettings)
+  , mContext{ mLoop,        mSettings,     mAdapter, mBoard,
+              mConnections, mGossipSender, mCrashes }
 {
-  mBoard.mBoot = FreshSeed();
-  mBoard.mRandom.seed(mBoard.mBoot);
+  mBoard.mGatewayIncarnation = FreshSeed();
+  mBoard.mRandom.seed(mBoard.mGatewayIncarnation);
 }
 
 gateway::~gateway()
@@ -122,8 +122,8 @@
   mCrashes.Start();
   BOOST_LEAF_CHECK(mPeers.Open());
   BOOST_LEAF_CHECK(
-    mPeerBeliefs.Open([this]() { return CollectRowsForPeers(); }));
-  mEntryRoll = std::make_unique<entry_roll>(
+    mSnapshotExchange.Open([this]() { return CollectRowsForPeers(); }));
+  mGatewayRegistry = std::make_unique<entry_roll>(
     mLoop,
     mSettings,
     mAdapter,
@@ -131,7 +131,7 @@
     [this](const std::vector<std::string>& aHosts) {
       mPeers.AddHosts(aHosts);
     });
-  mEntryRoll->Register();
+  mGatewayRegistry->Register();
   BOOST_LEAF_ASSIGN(
     mCallers,
     tcp_listener::Open(mLoop, mSettings.mCallers, [this](int aSocket) {
@@ -355,14 +355,14 @@
     return;
   }
   --mPeerFetchesLeft;
-  mPeerBeliefs.Ask(ahead[Below(mBoard.mRandom, ahead.size())],
-                   [this](const std::optional<believed_rows>& aRows) {
-                     if (aRows.has_value()) {
-                       ApplyPeerRows(*aRows);
-                     } else {
-                       FetchRowsFromPeer();
-                     }
-                   });
+  mSnapshotExchange.Ask(ahead[Below(mBoard.mRandom, ahead.size())],
+                        [this](const std::optional<believed_rows>& aRows) {
+                          if (aRows.has_value()) {
+                            ApplyPeerRows(*aRows);
+                          } else {
+                            FetchRowsFromPeer();
+                          }
+                        });
 }
 
 void
@@ -466,7 +466,7 @@
       "stopped",
       { { "open_requests", mBoard.mOpenRequests },
         { "drained_ms", Milliseconds(drained) } });
-  mOutbox.TellLeaving();
+  mGossipSender.TellLeaving();
   mLoop.Quit();
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -64,10 +64,10 @@
   gateway_adapter mAdapter;
   gateway_state mBoard;
   endpoint_connection_pool mConnections;
-  news_outbox mOutbox;
+  news_outbox mGossipSender;
   crash_watch mCrashes;
   peer_news mPeers;
-  peer_beliefs mPeerBeliefs;
+  peer_beliefs mSnapshotExchange;
   gateway_context mContext;
   /// Rows as read from the platform, served to peers that cannot reach it.
   std::optional<row_change<std::string>> mManifestRow;
@@ -76,7 +76,7 @@
   time_point mStatusLoggedAt{};
   std::unique_ptr<table_follower> mManifestFollower;
   std::unique_ptr<table_follower> mEndpointFollower;
-  std::unique_ptr<entry_roll> mEntryRoll;
+  std::unique_ptr<entry_roll> mGatewayRegistry;
   std::unique_ptr<tcp_listener> mCallers;
   std::unique_ptr<tcp_listener> mReadiness;
   std::unique_ptr<tcp_listener> mMetrics;
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -30,7 +30,8 @@
 /// Another gateway, as known from its datagrams.
 struct peer_state
 {
-  std::uint64_t mBoot = 0; ///< Random incarnation number, new at each start.
+  std::uint64_t mGatewayIncarnation =
+    0; ///< Random incarnation number, new at each start.
   time_point mHeard{};
   std::uint64_t mManifest = 0; ///< Last reported version in force.
   std::uint64_t mList = 0;     ///< Last reported endpoint list revision.
@@ -67,9 +68,10 @@
   bool mSubsetRingStale = false; ///< Engines or gateways have changed.
   std::map<std::string, repeat_record> mRepeats; ///< By service.
   std::map<std::string, peer_state> mPeers;      ///< By host.
-  bool mEntriesKnown = false;     ///< The table of gateways was read.
-  std::size_t mEntriesListed = 0; ///< Rows in that table, this one's included.
-  std::uint64_t mBoot = 0;
+  bool mGatewaysLoaded = false; ///< The table of gateways was read.
+  std::size_t mListedGatewayCount =
+    0; ///< Rows in that table, this one's included.
+  std::uint64_t mGatewayIncarnation = 0;
   std::uint32_t mLastPlacementNumber = 0;
   std::size_t mOpenRequests = 0;
   bool mDraining = false;
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/NewsOutbox.cpp
@@ -213,7 +213,7 @@
 news_outbox::Message() const
 {
   peer_message message;
-  message.mBoot = mBoard.mBoot;
+  message.mGatewayIncarnation = mBoard.mGatewayIncarnation;
   message.mLeaving = mLeaving;
   message.mManifest = CurrentManifestVersion(mBoard);
   message.mList = mBoard.mEndpoints.mNewestRevision;
@@ -320,7 +320,7 @@
   message.mNews.mLimits = KnownLimits(mBoard);
   std::vector<placement>& own = message.mNews.mPlaced;
   for (const auto& [key, placed] : mBoard.mLedger.mPlacements) {
-    if (placed.mOwner != mBoard.mBoot) {
+    if (placed.mOwner != mBoard.mGatewayIncarnation) {
       continue;
     }
     own.push_back(placed);
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerNews.cpp
@@ -93,10 +93,10 @@
 EntryCount(const gateway_state& aBoard)
 {
   constexpr std::size_t kBeforeAnyIsKnown = 64;
-  if (!aBoard.mEntriesKnown && aBoard.mPeers.empty()) {
+  if (!aBoard.mGatewaysLoaded && aBoard.mPeers.empty()) {
     return kBeforeAnyIsKnown;
   }
-  return std::max(aBoard.mPeers.size() + 1, aBoard.mEntriesListed);
+  return std::max(aBoard.mPeers.size() + 1, aBoard.mListedGatewayCount);
 }
 
 peer_news::peer_news(event_loop& aLoop,
@@ -108,7 +108,7 @@
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
-  , mOutbox(aOutbox)
+  , mGossipSender(aOutbox)
   , mCrashes(aCrashes)
   , mManifestWatch(
       aLoop,
@@ -145,7 +145,7 @@
                       [this](std::string_view aBytes, const ip_address& aFrom) {
                         OnNews(aBytes, aFrom);
                       }));
-  mOutbox.Open(*mSocket);
+  mGossipSender.Open(*mSocket);
   AddHosts(mSettings.mSeeds);
   Beat();
   return {};
@@ -157,7 +157,7 @@
   for (const std::string& host : aHosts) {
     if (host != mSettings.mPeers.mHost && !mBoard.mPeers.contains(host) &&
         mCandidates.insert(host).second) {
-      mOutbox.Beat(host);
+      mGossipSender.Beat(host);
     }
   }
 }
@@ -191,10 +191,10 @@
 {
   ForgetSilent();
   CompareWithPresent();
-  mOutbox.Beat();
+  mGossipSender.Beat();
   if (mBeats % kCandidateBeats == 0) {
     for (const std::string& host : mCandidates) {
-      mOutbox.Beat(host);
+      mGossipSender.Beat(host);
     }
   }
   ++mBeats;
@@ -241,7 +241,7 @@
         "peer_lost",
         { { "host", peer->first },
           { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
-    ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
+    ForgetOwner(mBoard.mLedger, peer->second.mGatewayIncarnation, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
     mBoard.mSubsetRingStale = true;
@@ -262,7 +262,7 @@
     return;
   }
   const peer_message& message = *read.mValue;
-  if (message.mBoot == mBoard.mBoot) {
+  if (message.mGatewayIncarnation == mBoard.mGatewayIncarnation) {
     return;
   }
   mCandidates.erase(aFrom.mHost);
@@ -284,19 +284,20 @@
   const time_point now = mLoop.Now();
   const auto known = mBoard.mPeers.find(aHost);
   const bool isNew =
-    known == mBoard.mPeers.end() || known->second.mBoot != aMessage.mBoot;
+    known == mBoard.mPeers.end() ||
+    known->second.mGatewayIncarnation != aMessage.mGatewayIncarnation;
   if (known != mBoard.mPeers.end() && isNew) {
-    ForgetOwner(mBoard.mLedger, known->second.mBoot, now);
+    ForgetOwner(mBoard.mLedger, known->second.mGatewayIncarnation, now);
   }
   mBoard.mPeers[aHost] = {
-    aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
+    aMessage.mGatewayIncarnation, now, aMessage.mManifest, aMessage.mList
   };
   if (isNew) {
     mBoard.mSubsetRingStale = true;
     Log(log_level::Info,
         "peer_found",
         { { "host", aHost }, { "peers", mBoard.mPeers.size() } });
-    mOutbox.Greet(aHost);
+    mGossipSender.Greet(aHost);
   }
 }
 
--- a/Libraries/LibGateway/PeerNews.h
+++ b/Libraries/LibGateway/PeerNews.h
@@ -57,7 +57,7 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   gateway_state& mBoard;
-  news_outbox& mOutbox;
+  news_outbox& mGossipSender;
   crash_watch& mCrashes;
   std::unique_ptr<datagram_socket> mSocket;
   std::set<std::string> mCandidates; ///< Hosts not heard from yet.
--- a/Libraries/LibGateway/PeerWire.cpp
+++ b/Libraries/LibGateway/PeerWire.cpp
@@ -234,16 +234,17 @@
 ReadMessage(wire::PeerNews::Reader aNews, time_point aNow)
 {
   peer_message message;
-  message.mBoot = aNews.getBoot();
+  message.mGatewayIncarnation = aNews.getBoot();
   message.mLeaving = aNews.getLeaving();
   message.mManifest = aNews.getManifest();
   message.mList = aNews.getList();
   message.mHeldState = aNews.getHeldState();
   for (const wire::PlacedWork::Reader work : aNews.getPlaced()) {
-    message.mNews.mPlaced.push_back(ReadWork(work, message.mBoot, aNow));
+    message.mNews.mPlaced.push_back(
+      ReadWork(work, message.mGatewayIncarnation, aNow));
   }
-  message.mNews.mEnded = Keys(message.mBoot, aNews.getEnded());
-  message.mNews.mUnread = Keys(message.mBoot, aNews.getUnread());
+  message.mNews.mEnded = Keys(message.mGatewayIncarnation, aNews.getEnded());
+  message.mNews.mUnread = Keys(message.mGatewayIncarnation, aNews.getUnread());
   message.mNews.mUnwilling = ReadNumbers(aNews.getUnwilling());
   message.mNews.mTroubled = ReadNumbers(aNews.getTroubled());
   ReadLimits(aNews, message.mNews, aNow);
@@ -261,7 +262,7 @@
 {
   capnp::MallocMessageBuilder builder;
   wire::PeerNews::Builder news = builder.initRoot<wire::PeerNews>();
-  news.setBoot(aMessage.mBoot);
+  news.setBoot(aMessage.mGatewayIncarnation);
   news.setLeaving(aMessage.mLeaving);
   news.setManifest(aMessage.mManifest);
   news.setList(aMessage.mList);
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -239,13 +239,13 @@
   {
     lone_watch(world& aWorld, request_digest aHeld)
       : mConnections(aWorld.mLoop, mBoard)
-      , mOutbox(aWorld.mLoop, aWorld.mSettings, mBoard)
+      , mGossipSender(aWorld.mLoop, aWorld.mSettings, mBoard)
       , mWatch(aWorld.mLoop,
                aWorld.mSettings,
                mAdapter,
                mBoard,
                mConnections,
-               mOutbox)
+               mGossipSender)
     {
       const time_point now = aWorld.mLoop.Now();
       mBoard.mQuarantine.mHeld[aHeld] = { 0, now, now };
@@ -254,7 +254,7 @@
     gateway_adapter mAdapter = platform::Adapter();
     gateway_state mBoard;
     endpoint_connection_pool mConnections;
-    news_outbox mOutbox;
+    news_outbox mGossipSender;
     crash_watch mWatch;
   };
 
--- a/Tests/Gateway/ForwardingTest.cpp
+++ b/Tests/Gateway/ForwardingTest.cpp
@@ -139,7 +139,7 @@
                         GoodHead(aHead, "Content-Length: 2\r\n") + "ok");
     };
     w.Start();
-    w.Until([&w]() { return w.mGateway->Board().mEntriesListed == 25; },
+    w.Until([&w]() { return w.mGateway->Board().mListedGatewayCount == 25; },
             "the gateways are listed");
     std::vector<standin_caller*> callers;
     callers.reserve(6);
--- a/Tests/Unit/NewsTest.cpp
+++ b/Tests/Unit/NewsTest.cpp
@@ -141,7 +141,7 @@
   static peer_message EmptyMessage()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     return message;
@@ -312,7 +312,7 @@
   void ShortPlacementIsShort()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     message.mNews.mPlaced = { ShortPlacement() };
@@ -326,7 +326,7 @@
   {
     rc::check("news", [](std::uint64_t aBoot, const std::string& aHost) {
       peer_message message;
-      message.mBoot = aBoot;
+      message.mGatewayIncarnation = aBoot;
       message.mLeaving = *rc::gen::arbitrary<bool>();
       message.mManifest = *rc::gen::arbitrary<std::uint64_t>();
       message.mList = *rc::gen::arbitrary<std::uint64_t>();
@@ -367,7 +367,7 @@
   {
     rc::check("mutated news", [](const std::string& aNoise) {
       peer_message message;
-      message.mBoot = kBoot;
+      message.mGatewayIncarnation = kBoot;
       message.mNews.mPlaced = { ShortPlacement() };
       std::string bytes = EncodeNews(message, kStart);
       const std::size_t at = *rc::gen::inRange<std::size_t>(0, bytes.size());
