--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -85,7 +85,7 @@
     mDeadlineTimer = 0;
     OnDeadline();
   });
-  mContext.mCrashes.WhenKnown([weak = weak_from_this()]() {
+  mContext.mCrashDetector.WhenKnown([weak = weak_from_this()]() {
     const std::shared_ptr<exchange> self = weak.lock();
     if (self != nullptr && self->mState != state::Ended) {
       self->DispatchUnlessQuarantined();
@@ -96,7 +96,7 @@
 void
 exchange::DispatchUnlessQuarantined()
 {
-  switch (mContext.mCrashes.Verdict(mDigest)) {
+  switch (mContext.mCrashDetector.Verdict(mDigest)) {
     case quarantine_verdict::Send:
       Dispatch();
       return;
@@ -106,7 +106,7 @@
     case quarantine_verdict::Try:
       break;
   }
-  mContext.mCrashes.ClaimTrial(
+  mContext.mCrashDetector.ClaimTrial(
     mDigest, [weak = weak_from_this()](bool aGranted) {
       const std::shared_ptr<exchange> self = weak.lock();
       if (self == nullptr || self->mState == state::Ended) {
@@ -236,7 +236,7 @@
   const bool mayBeSent =
     mIsQuarantineTrial
       ? !mReachedEndpoint
-      : mContext.mCrashes.Verdict(mDigest) == quarantine_verdict::Send;
+      : mContext.mCrashDetector.Verdict(mDigest) == quarantine_verdict::Send;
   if (!mayBeSent) {
     RefuseQuarantined();
     return;
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -22,7 +22,7 @@
   gateway_state& mBoard;
   endpoint_connection_pool& mConnections;
   news_outbox& mGossipSender;
-  crash_watch& mCrashes;
+  crash_watch& mCrashDetector;
 };
 
 /// Writes the answer to the caller's connection.
@@ -139,9 +139,9 @@
   void WriteHead(const http_head& aHead, std::optional<std::size_t> aLength);
   /// Ends the current attempt, its memory reservation and its placement.
   void ReleaseAttempt();
-  /// Reports an attempt that ends without a complete answer to `mCrashes`,
-  /// which detects crashes. `aEndpointAtFault` is false where the caller left
-  /// or the deadline passed.
+  /// Reports an attempt that ends without a complete answer to
+  /// `mCrashDetector`, which detects crashes. `aEndpointAtFault` is false where
+  /// the caller left or the deadline passed.
   void ReportUnfinishedAttempt(const attempt& aAttempt, bool aEndpointAtFault);
   void RecordReportedLoad(const attempt& aAttempt);
   /// Applies the rate limit that the endpoint's answer reports and broadcasts
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -98,10 +98,10 @@
                                   bool aEndpointAtFault)
 {
   if (aAttempt.WasSent()) {
-    mContext.mCrashes.OnBroken({ mDigest,
-                                 aAttempt.Endpoint().mId,
-                                 mAttemptHasEvents,
-                                 aEndpointAtFault });
+    mContext.mCrashDetector.OnBroken({ mDigest,
+                                       aAttempt.Endpoint().mId,
+                                       mAttemptHasEvents,
+                                       aEndpointAtFault });
   }
 }
 
@@ -216,7 +216,7 @@
 {
   const std::shared_ptr<exchange> self = shared_from_this();
   const unsigned status = aAttempt.Head().mStatus;
-  mContext.mCrashes.OnServed(mDigest);
+  mContext.mCrashDetector.OnServed(mDigest);
   if (status >= kFirstServerError) {
     UpdateEndpointHealth(aAttempt, endpoint_sign::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
@@ -310,7 +310,7 @@
     case attempt_end::NotConnected:
       UpdateEndpointHealth(aAttempt, endpoint_sign::Unreachable);
       if (aAttempt.ConnectionRefused()) {
-        mContext.mCrashes.OnGone(id, "refused");
+        mContext.mCrashDetector.OnGone(id, "refused");
       }
       ReleaseAttempt();
       mAttemptedEndpoints.pop_back();
@@ -340,7 +340,7 @@
       ApplyReportedLimit(aAttempt);
       if (wrongEndpoint) {
         UpdateEndpointHealth(aAttempt, endpoint_sign::Elsewhere);
-        mContext.mCrashes.OnGone(id, "address_of_another");
+        mContext.mCrashDetector.OnGone(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
           helper != nullptr) {
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -37,8 +37,9 @@
 
 private:
   bool Ready() const;
-  /// Called once peers have reported newer state for `aPatience`.
-  void OnPeerAhead(belief aBelief, duration aPatience);
+  /// Refreshes a table, because peers have reported newer state for
+  /// `aWaitTime`.
+  void OnPeerAhead(belief aTable, duration aWaitTime);
   /// Applies rows of the manifest table, which come oldest first.
   void OnManifestRows(const std::vector<row_change<std::string>>& aRows);
   /// Applies a manifest if it is newer; returns false if it cannot be decoded.
@@ -65,8 +66,8 @@
   gateway_state mBoard;
   endpoint_connection_pool mConnections;
   news_outbox mGossipSender;
-  crash_watch mCrashes;
-  peer_news mPeers;
+  crash_watch mCrashDetector;
+  peer_news mPeerGossip;
   peer_beliefs mSnapshotExchange;
   gateway_context mContext;
   /// Rows as read from the platform, served to peers that cannot reach it.
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -135,8 +135,8 @@
     out.Set(Labelled("gateway_store_answer_age_seconds", "table", table),
             Seconds(aNow - reached));
   }
-  for (const auto& [belief, since] : aState.mPeersAheadSince) {
-    out.Set(Labelled("gateway_behind_seconds", "belief", belief),
+  for (const auto& [table, since] : aState.mPeersAheadSince) {
+    out.Set(Labelled("gateway_behind_seconds", "belief", table),
             since.has_value() ? Seconds(aNow - *since) : 0);
   }
   SetEngineGauges(aState, aNow);
