--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -374,7 +374,7 @@
       { "manifest_age_ms",
         mManifest == nullptr
           ? -1
-          : Milliseconds(now - mContext.mBoard.mManifestSince) } });
+          : Milliseconds(now - mContext.mBoard.mManifestAppliedAt) } });
   response_writer* const port = mResponse;
   mResponse = nullptr;
   if (port != nullptr) {
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -148,7 +148,7 @@
 exchange::RecordEndpointActivity(const attempt& aAttempt)
 {
   if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
-    known->mHeard = mContext.mLoop.Now();
+    known->mLastReceivedAt = mContext.mLoop.Now();
   }
 }
 
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -428,7 +428,7 @@
   const engine_load* const load = FindEngineLoad(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
          load->mWriting.size() >= mService->mEngine->mSlots &&
-         mContext.mLoop.Now() - known->mHeard < kResponsiveWindow;
+         mContext.mLoop.Now() - known->mLastReceivedAt < kResponsiveWindow;
 }
 
 void
@@ -437,20 +437,21 @@
   const time_point now = mContext.mLoop.Now();
   const known_endpoint* const known = FindEndpoint(*mAttempt);
   const engine_load* const load = FindEngineLoad(*mAttempt);
-  const bool hasBeenHeard = known != nullptr && known->mHeard != time_point{};
-  Log(
-    log_level::Info,
-    "endpoint_silent",
-    { { "request", mRequestInfo.mId },
-      { "endpoint", mAttempt->Endpoint().mId },
-      { "expected_ms", mExpectedFirstEventMs },
-      { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
-      { "events", mCursor.Count() },
-      { "helpers", mHelperCount },
-      { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
-      { "writing", load == nullptr ? 0 : load->mWriting.size() },
-      { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
-      { "heard_ms", hasBeenHeard ? Milliseconds(now - known->mHeard) : -1 } });
+  const bool hasBeenHeard =
+    known != nullptr && known->mLastReceivedAt != time_point{};
+  Log(log_level::Info,
+      "endpoint_silent",
+      { { "request", mRequestInfo.mId },
+        { "endpoint", mAttempt->Endpoint().mId },
+        { "expected_ms", mExpectedFirstEventMs },
+        { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
+        { "events", mCursor.Count() },
+        { "helpers", mHelperCount },
+        { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
+        { "writing", load == nullptr ? 0 : load->mWriting.size() },
+        { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
+        { "heard_ms",
+          hasBeenHeard ? Milliseconds(now - known->mLastReceivedAt) : -1 } });
 }
 
 duration
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -262,7 +262,7 @@
   }
   mManifestRow = aRow;
   mBoard.mManifest = std::make_shared<const manifest_index>(*decoded.mValue);
-  mBoard.mManifestSince = mLoop.Now();
+  mBoard.mManifestAppliedAt = mLoop.Now();
   return true;
 }
 
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -52,11 +52,11 @@
 NameOf(peer_traffic aTraffic)
 {
   switch (aTraffic) {
-    case peer_traffic::NewsSent:
+    case peer_traffic::UpdatesSent:
       return "news_sent";
     case peer_traffic::HeartbeatsSent:
       return "beats_sent";
-    case peer_traffic::CrashesSent:
+    case peer_traffic::CrashReportsSent:
       return "crashes_sent";
     case peer_traffic::Received:
       return "received";
@@ -88,7 +88,7 @@
 {
   duration longest{};
   for (const auto& [host, peer] : aState.mPeers) {
-    longest = std::max(longest, aNow - peer.mHeard);
+    longest = std::max(longest, aNow - peer.mLastReceivedAt);
   }
   return longest;
 }
@@ -129,8 +129,9 @@
   out.Set("gateway_log_lines_dropped_total",
           static_cast<double>(DroppedLogLines()));
   out.Set("gateway_manifest_age_seconds",
-          aState.mManifest == nullptr ? -1
-                                      : Seconds(aNow - aState.mManifestSince));
+          aState.mManifest == nullptr
+            ? -1
+            : Seconds(aNow - aState.mManifestAppliedAt));
   for (const auto& [table, reached] : aState.mStoreAnsweredAt) {
     out.Set(Labelled("gateway_store_answer_age_seconds", "table", table),
             Seconds(aNow - reached));
@@ -186,11 +187,12 @@
       { "placed_heard",
         CounterValue(counters, "gateway_placements_heard_total") },
       { "news_sent_bytes",
-        CounterValue(counters, PeerBytesSeries(peer_traffic::NewsSent)) },
+        CounterValue(counters, PeerBytesSeries(peer_traffic::UpdatesSent)) },
       { "beats_sent_bytes",
         CounterValue(counters, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
       { "crashes_sent_bytes",
-        CounterValue(counters, PeerBytesSeries(peer_traffic::CrashesSent)) },
+        CounterValue(counters,
+                     PeerBytesSeries(peer_traffic::CrashReportsSent)) },
       { "held", aState.mQuarantine.mHeld.size() },
       { "received_bytes",
         CounterValue(counters, PeerBytesSeries(peer_traffic::Received)) },
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -31,9 +31,9 @@
 /// What the bytes of a datagram between gateways are counted as.
 enum class peer_traffic : std::uint8_t
 {
-  NewsSent,
+  UpdatesSent,
   HeartbeatsSent,
-  CrashesSent,
+  CrashReportsSent,
   Received,
 };
 
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -32,7 +32,7 @@
 {
   std::uint64_t mGatewayIncarnation =
     0; ///< Random incarnation number, new at each start.
-  time_point mHeard{};
+  time_point mLastReceivedAt{};
   std::uint64_t mManifest = 0; ///< Last reported version in force.
   std::uint64_t mList = 0;     ///< Last reported endpoint list revision.
 
@@ -51,7 +51,7 @@
 {
   time_point mStarted{};
   manifest_pointer mManifest;
-  time_point mManifestSince{};
+  time_point mManifestAppliedAt{};
   bool mEndpointsKnown = false; ///< The endpoint list was received.
   endpoint_board mEndpoints;
   /// Revision at which the store last showed the list; no row needs to have it.
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/NewsOutbox.cpp
@@ -137,7 +137,8 @@
     const std::size_t count = std::min(kMostHeldTold, aHeld.size() - from);
     message.mNews.mHeld = { begin, begin + static_cast<std::ptrdiff_t>(count) };
     const std::string bytes = EncodeNews(message, mLoop.Now());
-    CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, bytes.size());
+    CountPeerBytes(
+      mBoard.mMetrics, peer_traffic::CrashReportsSent, bytes.size());
     Send(bytes, aHost);
   }
 }
@@ -175,7 +176,7 @@
   const std::size_t sent = bytes.size() * mBoard.mPeers.size();
   // Placements go to fewer peers for a while: their bytes are what can wait.
   ChargeNews(mBudget, sent, mLoop.Now());
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashReportsSent, sent);
 }
 
 void
@@ -272,7 +273,7 @@
     TakePeersToTell(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
     "gateway_news_total", "told", told == aHosts.size() ? "all" : "some"));
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, told * aBytes);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::UpdatesSent, told * aBytes);
   if (told == aHosts.size()) {
     return aHosts;
   }
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerNews.cpp
@@ -233,14 +233,14 @@
   const duration silence =
     static_cast<int>(kSilentBeats) * SpanBetweenBeats(mBoard.mPeers.size());
   for (auto peer = mBoard.mPeers.begin(); peer != mBoard.mPeers.end();) {
-    if (now - peer->second.mHeard < silence) {
+    if (now - peer->second.mLastReceivedAt < silence) {
       ++peer;
       continue;
     }
     Log(log_level::Warning,
         "peer_lost",
         { { "host", peer->first },
-          { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
+          { "silent_ms", Milliseconds(now - peer->second.mLastReceivedAt) } });
     ForgetOwner(mBoard.mLedger, peer->second.mGatewayIncarnation, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
