--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -32,9 +32,9 @@
 
 caller_connection::caller_connection(const gateway_context& aContext,
                                      int aSocket,
-                                     closed aClosed)
+                                     closed_callback aOnClosed)
   : mContext(aContext)
-  , mClosed(std::move(aClosed))
+  , mOnClosed(std::move(aOnClosed))
   , mChannel(std::make_shared<tcp_channel>(aContext.mLoop,
                                            aSocket,
                                            kCallerChannelLimits))
@@ -218,7 +218,7 @@
   } else {
     mChannel->Close();
   }
-  mClosed(*this);
+  mOnClosed(*this);
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -12,11 +12,11 @@
   , public response_writer
 {
 public:
-  using closed = std::function<void(caller_connection&)>;
+  using closed_callback = std::function<void(caller_connection&)>;
 
   caller_connection(const gateway_context& aContext,
                     int aSocket,
-                    closed aClosed);
+                    closed_callback aOnClosed);
   ~caller_connection() override;
   caller_connection(const caller_connection&) = delete;
   caller_connection& operator=(const caller_connection&) = delete;
@@ -42,7 +42,7 @@
   void Close(bool aDrain);
 
   gateway_context mContext;
-  closed mClosed;
+  closed_callback mOnClosed;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
   std::shared_ptr<exchange> mExchange;
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -147,13 +147,14 @@
 exchange::RefuseOverloaded(const engine_choice& aChoice)
 {
   const bool fits = aChoice.mVerdict != engine_verdict::NoMemory;
-  const duration after = TimeUntilAccepted(mContext.mBoard.mEndpoints,
-                                           mContext.mBoard.mLedger,
-                                           *mService->mEngine,
-                                           DescribeEngineWork(),
-                                           mContext.mSettings.mDataCentre,
-                                           mContext.mLoop.Now(),
-                                           TimeLeft() / kMaxRetryAfterDivisor);
+  const duration retryAfter =
+    TimeUntilAccepted(mContext.mBoard.mEndpoints,
+                      mContext.mBoard.mLedger,
+                      *mService->mEngine,
+                      DescribeEngineWork(),
+                      mContext.mSettings.mDataCentre,
+                      mContext.mLoop.Now(),
+                      TimeLeft() / kMaxRetryAfterDivisor);
   mContext.mBoard.mMetrics.Count(
     Labelled("gateway_turned_away_total", "why", fits ? "costs" : "no_memory"));
   Log(log_level::Info,
@@ -171,10 +172,10 @@
         { "harm_holding", aChoice.mHarm.mHolding },
         { "price", aChoice.mPrice },
         { "price_of_second", aChoice.mPriceOfSecond },
-        { "retry_after_ms", Milliseconds(after) } });
+        { "retry_after_ms", Milliseconds(retryAfter) } });
   GiveUp(error_kind::Overloaded,
          fits ? "costs_others_more" : "no_memory",
-         Seconds(after));
+         Seconds(retryAfter));
 }
 
 void
--- a/Tests/Gateway/ForwardingTest.cpp
+++ b/Tests/Gateway/ForwardingTest.cpp
@@ -346,11 +346,10 @@
                    caller.Seen().find("Request-Id: r2"));
   }
 
-  /// Guards against executing a call twice that must be executed at most once,
-  /// for example billing a rights holder. The endpoint executes the call and
-  /// its connection breaks before the answer. The gateway must neither send the
-  /// call again nor tell the caller that it was not executed, because the
-  /// caller would then repeat it.
+  /// Guards against executing an at-most-once call twice, for example billing a
+  /// rights holder twice. The endpoint executes the call and its connection
+  /// breaks before the answer. The gateway must neither send the call again nor
+  /// report that it was not executed, because the caller would then repeat it.
   void AtMostOnceCallIsSentOnce()
   {
     world w;
@@ -421,8 +420,8 @@
   }
 
   /// Guards against a call that fails although its endpoint would have
-  /// answered: the only endpoint does not respond for a while, and the gateway
-  /// ends the attempt without checking whether there is another endpoint.
+  /// answered. The only endpoint does not respond for a while; the gateway must
+  /// check that there is another endpoint before it ends the attempt.
   void WaitsForSlowEndpointWithoutAlternative()
   {
     world w;
--- a/Tests/Gateway/StreamTest.cpp
+++ b/Tests/Gateway/StreamTest.cpp
@@ -155,9 +155,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), second.Field(0, "last-event-id"));
   }
 
-  /// Guards against failing a request at once although another engine is idle:
-  /// the engine resets the connection before the head of its answer, and only
-  /// streams that have begun are retried elsewhere.
+  /// Guards against failing a request at once although another engine is idle.
+  /// The engine resets the connection before the head of its answer; retries
+  /// must not be limited to streams that have begun.
   void ResetBeforeTheHeadIsRetriedElsewhere()
   {
     world w;
@@ -390,8 +390,8 @@
       }
     }
 
-    /// Number of helpers that refuse; the first ones that are named in
-    /// requests.
+    /// Number of helpers to mark as refusing. The first helper of a request is
+    /// marked until that number is reached.
     std::size_t mRefusingCount = 0;
     std::set<std::string> mRefusingHelpers;
     std::size_t mRequestCount = 0;
@@ -425,12 +425,12 @@
     }
   };
 
-  /// Guards against retrying with the helper that caused a refusal. While
-  /// engines leave and the platform's store is down, the gateway does not know
-  /// that one of the twelve engines that a prompt is divided over is leaving.
-  /// The engine that decodes refuses the prompt and names the leaving helper.
-  /// Retries that include this helper again would use up the attempts, and the
-  /// request would be refused although dozens of engines are free.
+  /// Guards against retrying with the helper that caused a refusal. A prompt is
+  /// divided over twelve engines, and one of them is leaving, which the gateway
+  /// does not know while the platform's store is down. The engine that decodes
+  /// refuses the prompt and names the leaving helper. Retries that include this
+  /// helper again would use up the attempts, and the request would be refused
+  /// although dozens of engines are free.
   void RefusingHelperIsLeftOutOfTheRetry()
   {
     world w;
