--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -30,8 +30,8 @@
 /// Another gateway, as known from its datagrams.
 struct peer_state
 {
-  std::uint64_t mGatewayIncarnation =
-    0; ///< Random incarnation number, new at each start.
+  /// Random number, new at each start of the gateway.
+  std::uint64_t mGatewayIncarnation = 0;
   time_point mLastReceivedAt{};
   std::uint64_t mManifest = 0; ///< Last reported version in force.
   std::uint64_t mList = 0;     ///< Last reported endpoint list revision.
@@ -64,13 +64,15 @@
   engine_ledger mLedger;
   quarantine mQuarantine;
   bool mQuarantineKnown = false; ///< The platform's table was read.
-  subset_ring mSubsetRing;       ///< Listed engines and known gateways.
-  bool mSubsetRingStale = false; ///< Engines or gateways have changed.
+  /// Assigns each engine to the gateways that prefer it; built from the listed
+  /// engines and the known gateways.
+  subset_ring mSubsetRing;
+  bool mSubsetRingStale = false; ///< Engines or gateways changed.
   std::map<std::string, repeat_record> mRepeats; ///< By service.
   std::map<std::string, peer_state> mPeers;      ///< By host.
   bool mGatewaysLoaded = false; ///< The table of gateways was read.
-  std::size_t mListedGatewayCount =
-    0; ///< Rows in that table, this one's included.
+  /// Rows in the table of gateways, including the row of this gateway.
+  std::size_t mListedGatewayCount = 0;
   std::uint64_t mGatewayIncarnation = 0;
   std::uint32_t mLastPlacementNumber = 0;
   std::size_t mOpenRequests = 0;
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -37,7 +37,7 @@
 
   std::vector<http_head> mHeads;
   std::vector<std::string> mBodies;
-  connection* mLast = nullptr;
+  connection* mLast = nullptr; ///< Of the last request.
   std::function<void(connection&, const http_head&)> mAnswer;
   standin_server mServer;
 };
@@ -83,6 +83,7 @@
     List("i-desk", "desk", mDeskEndpoint.mServer.Address());
   }
 
+  /// Sends a request on a new connection.
   standin_caller& Ask(const std::string& aBytes)
   {
     mCallers.push_back(
@@ -91,6 +92,7 @@
     return *mCallers.back();
   }
 
+  /// Sends a request and waits for its answer.
   standin_caller& Answered(const std::string& aBytes)
   {
     standin_caller& caller = Ask(aBytes);
@@ -110,8 +112,8 @@
   }
 
   endpoint_fixture mDeskEndpoint;
-  endpoint_fixture mSecond;
-  endpoint_fixture mModel;
+  endpoint_fixture mSecond; ///< Not listed at first.
+  endpoint_fixture mModel;  ///< Not listed at first.
   std::vector<std::unique_ptr<standin_caller>> mCallers;
 };
 
