--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -78,9 +78,9 @@
   if (!Admit()) {
     return;
   }
-  NoteRequest(mContext.mBoard.mRepeats[mService->mName],
-              mContext.mSettings.mRepeats,
-              mStarted);
+  RecordRequestForRetries(mContext.mBoard.mRepeats[mService->mName],
+                          mContext.mSettings.mRepeats,
+                          mStarted);
   mDeadlineTimer = mContext.mLoop.After(TimeLeft(), [this]() {
     mDeadlineTimer = 0;
     OnDeadline();
@@ -127,7 +127,7 @@
   mContext.mBoard.mMetrics.Count("gateway_quarantine_refusals_total");
   GiveUp(error_kind::Quarantined,
          "ends_endpoints",
-         Seconds(UntilTrial(
+         Seconds(TimeUntilTrial(
            mContext.mBoard.mQuarantine, mDigest, mContext.mLoop.Now())));
 }
 
@@ -210,7 +210,7 @@
     mOrganisation = owner->mName;
     return true;
   }
-  if (mRoute->mWithoutKey) {
+  if (mRoute->mAuthExempt) {
     return true;
   }
   Answer({ error_kind::Unauthenticated,
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -139,7 +139,7 @@
                           now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
-  if (MarkLimitToldIfDue(current, changed, now)) {
+  if (MarkLimitAnnouncedIfDue(current, changed, now)) {
     mContext.mGossipSender.TellLimit(limit);
   }
 }
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -262,7 +262,7 @@
                         i < aReservedCount ? mMemory->Reservation() : "" });
   }
   StartAttempt(aDecodeEngine, helpers);
-  StartResponseTimer(FirstEventPatience(
+  StartResponseTimer(FirstEventTimeout(
     DescribeEngineWork(), mExpectedFirstEventMs, !aHelpers.empty()));
 }
 
@@ -371,7 +371,7 @@
 exchange::StartStallTimer(const attempt& aAttempt)
 {
   if (mRoute->mLongestPause > duration::zero()) {
-    StartResponseTimer(PausePatience(mRoute->mLongestPause) +
+    StartResponseTimer(StallTimeout(mRoute->mLongestPause) +
                        PrefillBacklog(aAttempt));
   }
 }
@@ -483,10 +483,10 @@
 bool
 exchange::ConsumeRetryBudget()
 {
-  return TakeRepeat(mContext.mBoard.mRepeats[mService->mName],
-                    mContext.mSettings.mRepeats,
-                    EntryCount(mContext.mBoard),
-                    mContext.mLoop.Now());
+  return TakeRetry(mContext.mBoard.mRepeats[mService->mName],
+                   mContext.mSettings.mRepeats,
+                   EntryCount(mContext.mBoard),
+                   mContext.mLoop.Now());
 }
 
 void
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -22,7 +22,7 @@
   ip_address mStore;
   std::vector<std::string> mSeeds; ///< Hosts of the first peers to contact.
   duration mGrace{}; ///< From the termination signal to the forced end.
-  repeat_bound mRepeats;
+  retry_limits mRepeats;
 
   bool operator==(const gateway_settings&) const = default;
 };
@@ -68,7 +68,7 @@
   /// engines and the known gateways.
   subset_ring mSubsetRing;
   bool mSubsetRingStale = false; ///< Engines or gateways changed.
-  std::map<std::string, repeat_record> mRepeats; ///< By service.
+  std::map<std::string, retry_history> mRepeats; ///< By service.
   std::map<std::string, peer_state> mPeers;      ///< By host.
   bool mGatewaysLoaded = false; ///< The table of gateways was read.
   /// Rows in the table of gateways, including the row of this gateway.
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -185,7 +185,7 @@
 void
 table_follower::ReadChanges()
 {
-  const duration wait = QuestionWait(
+  const duration wait = LongPollWait(
     mBoard.mPeers.size(),
     mAfterChange ? std::optional(Uniform(mBoard.mRandom)) : std::nullopt);
   mAfterChange = false;
@@ -272,8 +272,8 @@
 table_follower::OnTrouble(const table_read_result& aReading)
 {
   NoteTrouble(aReading);
-  const duration pause = PauseAfterFailure(
-    mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
+  const duration pause =
+    StoreBackoff(mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
   mTimer = mLoop.After(pause, [this]() {
     mTimer = 0;
     Ask();
