--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -5,9 +5,9 @@
 /// answer.
 
 #include "LibGateway/Attempt.h"
-#include "LibGateway/CrashWatch.h"
+#include "LibGateway/CrashDetector.h"
+#include "LibGateway/GossipSender.h"
 #include "LibGateway/MemoryReservation.h"
-#include "LibGateway/NewsOutbox.h"
 
 #include <memory>
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -4,9 +4,9 @@
 /// components that update it.
 
 #include "LibGateway/CallerConnection.h"
-#include "LibGateway/EntryRoll.h"
-#include "LibGateway/PeerBeliefs.h"
-#include "LibGateway/PeerNews.h"
+#include "LibGateway/GatewayRegistry.h"
+#include "LibGateway/PeerGossip.h"
+#include "LibGateway/PeerSnapshot.h"
 #include "LibGateway/TableFollower.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/NewsOutbox.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -4,7 +4,7 @@
 /// and sent to those whom it concerns.
 
 #include "LibGateway/GatewayState.h"
-#include "LibGateway/PeerWire.h"
+#include "LibGateway/PeerMessage.h"
 
 namespace primrose {
 
