--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -85,7 +85,7 @@
     mDeadlineTimer = 0;
     OnDeadline();
   });
-  mContext.mCrashDetector.WhenKnown([weak = weak_from_this()]() {
+  mContext.mCrashDetector.WhenQuarantineLoaded([weak = weak_from_this()]() {
     const std::shared_ptr<exchange> self = weak.lock();
     if (self != nullptr && self->mState != state::Ended) {
       self->DispatchUnlessQuarantined();
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -21,8 +21,8 @@
   const gateway_adapter& mAdapter;
   gateway_state& mBoard;
   endpoint_connection_pool& mConnections;
-  news_outbox& mGossipSender;
-  crash_watch& mCrashDetector;
+  gossip_sender& mGossipSender;
+  crash_detector& mCrashDetector;
 };
 
 /// Writes the answer to the caller's connection.
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -46,7 +46,8 @@
   NoteSign(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
       aSign == endpoint_sign::Unreachable) {
-    mContext.mGossipSender.TellTroubled(EngineKey(aEndpoint.mListed.mId));
+    mContext.mGossipSender.AnnounceEndpointFailure(
+      EngineKey(aEndpoint.mListed.mId));
   }
   if (!wasAvoided && Avoided(aEndpoint, now)) {
     Log(log_level::Warning,
@@ -79,7 +80,7 @@
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
   UpdateEndpointHealth(aHelper, endpoint_sign::Unwilling);
-  mContext.mGossipSender.TellUnwilling(EngineKey(aHelper.mListed.mId));
+  mContext.mGossipSender.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
   // The engine that received the prompt did no work and may receive it again,
   // so this does not count as one of the attempts that the route allows.
@@ -98,10 +99,10 @@
                                   bool aEndpointAtFault)
 {
   if (aAttempt.WasSent()) {
-    mContext.mCrashDetector.OnBroken({ mDigest,
-                                       aAttempt.Endpoint().mId,
-                                       mAttemptHasEvents,
-                                       aEndpointAtFault });
+    mContext.mCrashDetector.OnAttemptFailed({ mDigest,
+                                              aAttempt.Endpoint().mId,
+                                              mAttemptHasEvents,
+                                              aEndpointAtFault });
   }
 }
 
@@ -134,13 +135,13 @@
     return;
   }
   const time_point now = mContext.mLoop.Now();
-  const told_limit limit{ EngineKey(known->mListed.mId),
-                          info.mLimitPerSecond,
-                          now };
+  const limit_report limit{ EngineKey(known->mListed.mId),
+                            info.mLimitPerSecond,
+                            now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
   if (MarkLimitAnnouncedIfDue(current, changed, now)) {
-    mContext.mGossipSender.TellLimit(limit);
+    mContext.mGossipSender.AnnounceLimit(limit);
   }
 }
 
@@ -216,7 +217,7 @@
 {
   const std::shared_ptr<exchange> self = shared_from_this();
   const unsigned status = aAttempt.Head().mStatus;
-  mContext.mCrashDetector.OnServed(mDigest);
+  mContext.mCrashDetector.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
     UpdateEndpointHealth(aAttempt, endpoint_sign::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
@@ -310,7 +311,7 @@
     case attempt_end::NotConnected:
       UpdateEndpointHealth(aAttempt, endpoint_sign::Unreachable);
       if (aAttempt.ConnectionRefused()) {
-        mContext.mCrashDetector.OnGone(id, "refused");
+        mContext.mCrashDetector.OnEndpointCrashed(id, "refused");
       }
       ReleaseAttempt();
       mAttemptedEndpoints.pop_back();
@@ -340,7 +341,7 @@
       ApplyReportedLimit(aAttempt);
       if (wrongEndpoint) {
         UpdateEndpointHealth(aAttempt, endpoint_sign::Elsewhere);
-        mContext.mCrashDetector.OnGone(id, "address_of_another");
+        mContext.mCrashDetector.OnEndpointCrashed(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
           helper != nullptr) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -191,7 +191,7 @@
   placed.mBegan = mStarted;
   placed.mExpires = mDeadline;
   NotePlaced(shared.mLedger, placed, mContext.mLoop.Now());
-  mContext.mGossipSender.TellPlaced(placed);
+  mContext.mGossipSender.AnnouncePlacement(placed);
   mPlacement = placed.mKey;
   mExpectedFirstEventMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
@@ -531,7 +531,7 @@
       mAttemptHasEvents ? placement_end::Read : placement_end::Unread;
     const auto placed = mContext.mBoard.mLedger.mPlacements.find(*mPlacement);
     if (placed != mContext.mBoard.mLedger.mPlacements.end()) {
-      mContext.mGossipSender.TellEnded(
+      mContext.mGossipSender.AnnouncePlacementEnd(
         *mPlacement, end, placed->second.mEngines);
     }
     NoteEnded(mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -128,7 +128,7 @@
   BOOST_LEAF_CHECK(mPeerGossip.Open());
   BOOST_LEAF_CHECK(
     mSnapshotExchange.Open([this]() { return CollectRowsForPeers(); }));
-  mGatewayRegistry = std::make_unique<entry_roll>(
+  mGatewayRegistry = std::make_unique<gateway_registry>(
     mLoop,
     mSettings,
     mAdapter,
@@ -193,15 +193,14 @@
 void
 gateway::ServeProbe(int aSocket, bool aMetrics)
 {
-  probe_connection::Serve(mLoop, aSocket, [this, aMetrics]() {
+  http_responder::Serve(mLoop, aSocket, [this, aMetrics]() {
     if (aMetrics) {
       SetGauges(mBoard, mLoop.Now());
-      return probe_connection::answer{ kStatusOk,
-                                       mBoard.mMetrics.Exposition() };
+      return http_responder::answer{ kStatusOk, mBoard.mMetrics.Exposition() };
     }
     return Ready()
-             ? probe_connection::answer{ kStatusOk, "ready\n" }
-             : probe_connection::answer{ kStatusUnavailable, "not ready\n" };
+             ? http_responder::answer{ kStatusOk, "ready\n" }
+             : http_responder::answer{ kStatusUnavailable, "not ready\n" };
   });
 }
 
@@ -281,10 +280,10 @@
     mConnections.CloseIdle(aId);
   }
   if (aListing == listing::Leaving) {
-    mCrashDetector.OnLeaving(aId);
+    mCrashDetector.OnEndpointDraining(aId);
   }
   if (aListing == listing::Left) {
-    mCrashDetector.OnUnlisted(aId);
+    mCrashDetector.OnEndpointUnlisted(aId);
   }
 }
 
@@ -338,10 +337,10 @@
   mBoard.mSubsetRingStale = true;
 }
 
-believed_rows
+table_snapshot
 gateway::CollectRowsForPeers() const
 {
-  believed_rows rows;
+  table_snapshot rows;
   rows.mManifest = mManifestRow;
   for (const auto& [id, row] : mEndpointRows) {
     rows.mEndpoints.push_back(row);
@@ -361,7 +360,7 @@
   }
   --mPeerFetchesLeft;
   mSnapshotExchange.Ask(ahead[Below(mBoard.mRandom, ahead.size())],
-                        [this](const std::optional<believed_rows>& aRows) {
+                        [this](const std::optional<table_snapshot>& aRows) {
                           if (aRows.has_value()) {
                             ApplyPeerRows(*aRows);
                           } else {
@@ -371,7 +370,7 @@
 }
 
 void
-gateway::ApplyPeerRows(const believed_rows& aRows)
+gateway::ApplyPeerRows(const table_snapshot& aRows)
 {
   if (aRows.mManifest.has_value()) {
     OnManifestRows({ *aRows.mManifest });
@@ -471,7 +470,7 @@
       "stopped",
       { { "open_requests", mBoard.mOpenRequests },
         { "drained_ms", Milliseconds(drained) } });
-  mGossipSender.TellLeaving();
+  mGossipSender.BroadcastLeaving();
   mLoop.Quit();
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -53,8 +53,8 @@
   /// Fetches rows from one of the peers that report newer state, and from
   /// another one if that peer does not answer.
   void FetchRowsFromPeer();
-  void ApplyPeerRows(const believed_rows& aRows);
-  believed_rows CollectRowsForPeers() const;
+  void ApplyPeerRows(const table_snapshot& aRows);
+  table_snapshot CollectRowsForPeers() const;
   void Tick();
   void CheckDrained();
   /// Answers a readiness probe or, with `aMetrics`, a scrape of the metrics.
@@ -65,10 +65,10 @@
   gateway_adapter mAdapter;
   gateway_state mBoard;
   endpoint_connection_pool mConnections;
-  news_outbox mGossipSender;
-  crash_watch mCrashDetector;
-  peer_news mPeerGossip;
-  peer_beliefs mSnapshotExchange;
+  gossip_sender mGossipSender;
+  crash_detector mCrashDetector;
+  peer_gossip mPeerGossip;
+  snapshot_exchange mSnapshotExchange;
   gateway_context mContext;
   /// Rows as read from the platform, served to peers that cannot reach it.
   std::optional<row_change<std::string>> mManifestRow;
@@ -77,7 +77,7 @@
   time_point mStatusLoggedAt{};
   std::unique_ptr<table_follower> mManifestFollower;
   std::unique_ptr<table_follower> mEndpointFollower;
-  std::unique_ptr<entry_roll> mGatewayRegistry;
+  std::unique_ptr<gateway_registry> mGatewayRegistry;
   std::unique_ptr<tcp_listener> mCallers;
   std::unique_ptr<tcp_listener> mReadiness;
   std::unique_ptr<tcp_listener> mMetrics;
