--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -91,15 +91,16 @@
   /// Chooses an endpoint of a service without engines and sends the request to
   /// it; false if none can be chosen.
   bool TrySendToPlainEndpoint();
-  engine_work DescribeEngineWork() const;
+  placement_request DescribeEngineWork() const;
   /// The latency target of the route. A route without one gets the whole time
   /// limit: a target of 0 would make every answer late and every endpoint
   /// unresponsive.
   duration LatencyTarget() const;
-  /// Evaluates the placement again after `kReweighInterval`.
+  /// Evaluates the placement again after `kReevaluationInterval`.
   void PostponePlacement(const engine_choice& aChoice);
   void RefuseOverloaded(const engine_choice& aChoice);
-  void RecordPlacement(const engine_choice& aChoice, const engine_work& aWork);
+  void RecordPlacement(const engine_choice& aChoice,
+                       const placement_request& aWork);
   void ReserveMemory(const engine_choice& aChoice);
   /// Sends the prompt to the engine that decodes. The first `aReservedCount`
   /// helpers have reserved memory for it.
@@ -151,8 +152,10 @@
   void RefuseUnplaced();
   /// Records that the endpoint responded just now.
   void RecordEndpointActivity(const attempt& aAttempt);
-  void UpdateEndpointHealth(const attempt& aAttempt, endpoint_sign aSign);
-  void UpdateEndpointHealth(known_endpoint& aEndpoint, endpoint_sign aSign);
+  void UpdateEndpointHealth(const attempt& aAttempt,
+                            endpoint_health_event aSign);
+  void UpdateEndpointHealth(known_endpoint& aEndpoint,
+                            endpoint_health_event aSign);
   /// The helper that a refusal names: an engine that refused to prefill a part
   /// of the prompt. Null if the refusal names no other engine than the one that
   /// sent it.
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -31,7 +31,8 @@
 } // namespace
 
 void
-exchange::UpdateEndpointHealth(const attempt& aAttempt, endpoint_sign aSign)
+exchange::UpdateEndpointHealth(const attempt& aAttempt,
+                               endpoint_health_event aSign)
 {
   if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
     UpdateEndpointHealth(*known, aSign);
@@ -39,23 +40,25 @@
 }
 
 void
-exchange::UpdateEndpointHealth(known_endpoint& aEndpoint, endpoint_sign aSign)
+exchange::UpdateEndpointHealth(known_endpoint& aEndpoint,
+                               endpoint_health_event aSign)
 {
   const time_point now = mContext.mLoop.Now();
-  const bool wasAvoided = Avoided(aEndpoint, now);
-  NoteSign(aEndpoint.mHealth, aSign, now);
-  if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
-      aSign == endpoint_sign::Unreachable) {
+  const bool wasAvoided = IsAvoided(aEndpoint, now);
+  RecordHealthEvent(aEndpoint.mHealth, aSign, now);
+  if (aSign == endpoint_health_event::ConnectionBroken ||
+      aSign == endpoint_health_event::Silent ||
+      aSign == endpoint_health_event::Unreachable) {
     mContext.mGossipSender.AnnounceEndpointFailure(
       EngineKey(aEndpoint.mListed.mId));
   }
-  if (!wasAvoided && Avoided(aEndpoint, now)) {
+  if (!wasAvoided && IsAvoided(aEndpoint, now)) {
     Log(log_level::Warning,
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
           { "address", aEndpoint.mListed.mAddress.Text() },
           { "request", mRequestInfo.mId },
-          { "strikes", aEndpoint.mHealth.mStrikes },
+          { "strikes", aEndpoint.mHealth.mBackoffFailures },
           { "for_ms", Milliseconds(aEndpoint.mHealth.mAvoidUntil - now) } });
   }
 }
@@ -79,7 +82,7 @@
 void
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
-  UpdateEndpointHealth(aHelper, endpoint_sign::Unwilling);
+  UpdateEndpointHealth(aHelper, endpoint_health_event::PrefillHelpRefused);
   mContext.mGossipSender.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
   // The engine that received the prompt did no work and may receive it again,
@@ -111,10 +114,10 @@
 {
   if (mService->mEngine.has_value() &&
       aAttempt.Info().mReportedRequests.has_value()) {
-    NoteSaid(mContext.mBoard.mLedger,
-             EngineKey(aAttempt.Endpoint().mId),
-             *aAttempt.Info().mReportedRequests,
-             mContext.mLoop.Now());
+    SetReportedRequests(mContext.mBoard.mLedger,
+                        EngineKey(aAttempt.Endpoint().mId),
+                        *aAttempt.Info().mReportedRequests,
+                        mContext.mLoop.Now());
   }
 }
 
@@ -219,7 +222,7 @@
   const unsigned status = aAttempt.Head().mStatus;
   mContext.mCrashDetector.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
-    UpdateEndpointHealth(aAttempt, endpoint_sign::Failed);
+    UpdateEndpointHealth(aAttempt, endpoint_health_event::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
       mMayHaveRun = true;
       ReleaseAttempt();
@@ -227,7 +230,7 @@
       return;
     }
   } else {
-    UpdateEndpointHealth(aAttempt, endpoint_sign::Answered);
+    UpdateEndpointHealth(aAttempt, endpoint_health_event::Answered);
   }
   if (!mStreaming) {
     if (mHeadWritten) {
@@ -309,7 +312,7 @@
   const bool wrongEndpoint = aAttempt.Info().mWrongEndpoint;
   switch (aEnd) {
     case attempt_end::NotConnected:
-      UpdateEndpointHealth(aAttempt, endpoint_sign::Unreachable);
+      UpdateEndpointHealth(aAttempt, endpoint_health_event::Unreachable);
       if (aAttempt.ConnectionRefused()) {
         mContext.mCrashDetector.OnEndpointCrashed(id, "refused");
       }
@@ -340,7 +343,8 @@
       RecordReportedLoad(aAttempt);
       ApplyReportedLimit(aAttempt);
       if (wrongEndpoint) {
-        UpdateEndpointHealth(aAttempt, endpoint_sign::Elsewhere);
+        UpdateEndpointHealth(aAttempt,
+                             endpoint_health_event::AddressReassigned);
         mContext.mCrashDetector.OnEndpointCrashed(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
@@ -360,7 +364,7 @@
       ReportUnfinishedAttempt(aAttempt, true);
       [[fallthrough]];
     case attempt_end::InvalidAnswer:
-      UpdateEndpointHealth(aAttempt, endpoint_sign::Broke);
+      UpdateEndpointHealth(aAttempt, endpoint_health_event::ConnectionBroken);
       mMayHaveRun = true;
       ReleaseAttempt();
       if (CanRetryElsewhere() && ConsumeRetryBudget()) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -54,7 +54,7 @@
 exchange::TrySendToEngines()
 {
   gateway_state& shared = mContext.mBoard;
-  const engine_work work = DescribeEngineWork();
+  const placement_request work = DescribeEngineWork();
   const std::optional<engine_choice> choice =
     PlaceOnEngines(shared.mEndpoints,
                    shared.mLedger,
@@ -70,30 +70,31 @@
   // on another engine.
   const bool alreadyAccepted = !mAttemptedEndpoints.empty();
   switch (choice->mVerdict) {
-    case engine_verdict::Send:
+    case placement_verdict::Send:
       break;
-    case engine_verdict::Wait:
+    case placement_verdict::Wait:
       if (alreadyAccepted || shared.mDraining) {
         break;
       }
       PostponePlacement(*choice);
       return true;
-    case engine_verdict::TurnAway:
+    case placement_verdict::TurnAway:
       if (alreadyAccepted) {
         break;
       }
       [[fallthrough]];
-    case engine_verdict::NoMemory:
+    case placement_verdict::NoMemory:
       RefuseOverloaded(*choice);
       return true;
   }
-  TakeToken(choice->mWriter->mLimit, mContext.mLoop.Now());
+  TakeToken(choice->mDecodeEngine->mLimit, mContext.mLoop.Now());
   RecordPlacement(*choice, work);
   if (choice->mHolders > 0) {
     ReserveMemory(*choice);
     return true;
   }
-  SendToEngines(choice->mWriter->mListed, ToEndpoints(choice->mReaders), 0);
+  SendToEngines(
+    choice->mDecodeEngine->mListed, ToEndpoints(choice->mPrefillHelpers), 0);
   return true;
 }
 
@@ -104,21 +105,21 @@
                                                : mDeadline - mStarted;
 }
 
-engine_work
+placement_request
 exchange::DescribeEngineWork() const
 {
-  engine_work work;
+  placement_request work;
   work.mService = mService->mName;
   work.mPromptTokens = mRequestInfo.mPromptTokens;
   work.mAnswerTokens = std::min(mRequestInfo.mMaxAnswerTokens,
-                                mService->mEngine->mUsualAnswerTokens);
+                                mService->mEngine->mMeanAnswerTokens);
   work.mObjective = LatencyTarget();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
                          : work.mObjective;
-  work.mWorth = WorthOfWork(work.mPromptTokens);
+  work.mWorth = WorthOfPrompt(work.mPromptTokens);
   work.mElapsed = mContext.mLoop.Now() - mStarted;
-  work.mOrderSeed = mContext.mBoard.mGatewayIncarnation;
+  work.mTieBreakSeed = mContext.mBoard.mGatewayIncarnation;
   return work;
 }
 
@@ -136,7 +137,7 @@
           { "harm", TotalHarm(aChoice.mHarm) },
           { "price", aChoice.mPrice } });
   }
-  mPlacementTimer = mContext.mLoop.After(kReweighInterval, [this]() {
+  mPlacementTimer = mContext.mLoop.After(kReevaluationInterval, [this]() {
     const std::shared_ptr<exchange> self = shared_from_this();
     mPlacementTimer = 0;
     Dispatch();
@@ -146,7 +147,7 @@
 void
 exchange::RefuseOverloaded(const engine_choice& aChoice)
 {
-  const bool fits = aChoice.mVerdict != engine_verdict::NoMemory;
+  const bool fits = aChoice.mVerdict != placement_verdict::NoMemory;
   const duration retryAfter =
     TimeUntilAccepted(mContext.mBoard.mEndpoints,
                       mContext.mBoard.mLedger,
@@ -162,16 +163,16 @@
       { { "request", mRequestInfo.mId },
         { "prompt_tokens", mRequestInfo.mPromptTokens },
         { "fits", static_cast<int>(fits) },
-        { "helpers", aChoice.mReaders.size() },
-        { "part_ms", aChoice.mPartMs },
+        { "helpers", aChoice.mPrefillHelpers.size() },
+        { "part_ms", aChoice.mPartPrefillMs },
         { "expected_ms", aChoice.mFirstEventMs },
         { "gain", aChoice.mGain },
         { "harm", TotalHarm(aChoice.mHarm) },
         { "harm_streams", aChoice.mHarm.mStreams },
-        { "harm_readings", aChoice.mHarm.mReadings },
-        { "harm_holding", aChoice.mHarm.mHolding },
+        { "harm_readings", aChoice.mHarm.mPrefills },
+        { "harm_holding", aChoice.mHarm.mFutureRequests },
         { "price", aChoice.mPrice },
-        { "price_of_second", aChoice.mPriceOfSecond },
+        { "price_of_second", aChoice.mPrefillSecondPrice },
         { "retry_after_ms", Milliseconds(retryAfter) } });
   GiveUp(error_kind::Overloaded,
          fits ? "costs_others_more" : "no_memory",
@@ -180,17 +181,17 @@
 
 void
 exchange::RecordPlacement(const engine_choice& aChoice,
-                          const engine_work& aWork)
+                          const placement_request& aWork)
 {
   gateway_state& shared = mContext.mBoard;
-  placement placed = PlacementOf(
+  placement placed = MakePlacement(
     aChoice,
     aWork,
     PlacementKey(shared.mGatewayIncarnation, ++shared.mLastPlacementNumber));
   placed.mOwner = shared.mGatewayIncarnation;
   placed.mBegan = mStarted;
   placed.mExpires = mDeadline;
-  NotePlaced(shared.mLedger, placed, mContext.mLoop.Now());
+  AddPlacement(shared.mLedger, placed, mContext.mLoop.Now());
   mContext.mGossipSender.AnnouncePlacement(placed);
   mPlacement = placed.mKey;
   mExpectedFirstEventMs = aChoice.mFirstEventMs;
@@ -199,12 +200,12 @@
       { { "request", mRequestInfo.mId },
         { "route", mRoute->mName },
         { "organisation", mOrganisation },
-        { "endpoint", aChoice.mWriter->mListed.mId },
-        { "helpers", aChoice.mReaders.size() },
+        { "endpoint", aChoice.mDecodeEngine->mListed.mId },
+        { "helpers", aChoice.mPrefillHelpers.size() },
         { "holders", aChoice.mHolders },
-        { "readers", JoinIds(aChoice.mReaders) },
+        { "readers", JoinIds(aChoice.mPrefillHelpers) },
         { "prompt_tokens", mRequestInfo.mPromptTokens },
-        { "part_ms", aChoice.mPartMs },
+        { "part_ms", aChoice.mPartPrefillMs },
         { "expected_ms", aChoice.mFirstEventMs },
         { "waited_ms", mPostponed ? Milliseconds(aWork.mElapsed) : 0 },
         { "harm", TotalHarm(aChoice.mHarm) },
@@ -215,8 +216,8 @@
 void
 exchange::ReserveMemory(const engine_choice& aChoice)
 {
-  const std::vector<endpoint> helpers = ToEndpoints(aChoice.mReaders);
-  const endpoint decodeEngine = aChoice.mWriter->mListed;
+  const std::vector<endpoint> helpers = ToEndpoints(aChoice.mPrefillHelpers);
+  const endpoint decodeEngine = aChoice.mDecodeEngine->mListed;
   const std::size_t reservedCount = aChoice.mHolders;
   mMemory = std::make_shared<memory_reservation>(
     mContext.mLoop,
@@ -398,7 +399,7 @@
     return;
   }
   LogResponseTimeout();
-  UpdateEndpointHealth(*mAttempt, endpoint_sign::Silent);
+  UpdateEndpointHealth(*mAttempt, endpoint_health_event::Silent);
   ReportUnfinishedAttempt(*mAttempt, true);
   mMayHaveRun = mMayHaveRun || mAttempt->WasSent();
   ReleaseAttempt();
@@ -428,7 +429,7 @@
   const known_endpoint* const known = FindEndpoint(aAttempt);
   const engine_load* const load = FindEngineLoad(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
-         load->mWriting.size() >= mService->mEngine->mSlots &&
+         load->mDecoding.size() >= mService->mEngine->mSlots &&
          mContext.mLoop.Now() - known->mLastReceivedAt < kResponsiveWindow;
 }
 
@@ -449,7 +450,7 @@
         { "events", mCursor.Count() },
         { "helpers", mHelperCount },
         { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
-        { "writing", load == nullptr ? 0 : load->mWriting.size() },
+        { "writing", load == nullptr ? 0 : load->mDecoding.size() },
         { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
         { "heard_ms",
           hasBeenHeard ? Milliseconds(now - known->mLastReceivedAt) : -1 } });
@@ -471,7 +472,7 @@
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
-    if (Admissible(known, mService->mName, mContext.mLoop.Now()) &&
+    if (IsAdmissible(known, mService->mName, mContext.mLoop.Now()) &&
         std::find(mExcludedEndpoints.begin(), mExcludedEndpoints.end(), id) ==
           mExcludedEndpoints.end()) {
       return true;
@@ -534,7 +535,8 @@
       mContext.mGossipSender.AnnouncePlacementEnd(
         *mPlacement, end, placed->second.mEngines);
     }
-    NoteEnded(mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
+    RemovePlacement(
+      mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
     mPlacement.reset();
   }
 }
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -37,18 +37,18 @@
 constexpr unsigned kStatusUnavailable = 503;
 
 std::string_view
-ListingName(listing aListing)
+ListingName(membership_change aListing)
 {
   switch (aListing) {
-    case listing::Unchanged:
+    case membership_change::Unchanged:
       return "unchanged";
-    case listing::Joined:
+    case membership_change::Joined:
       return "joined";
-    case listing::Leaving:
+    case membership_change::Leaving:
       return "leaving";
-    case listing::Left:
+    case membership_change::Left:
       return "left";
-    case listing::Changed:
+    case membership_change::Changed:
       return "changed";
   }
   return "";
@@ -266,9 +266,10 @@
 }
 
 void
-gateway::OnListingChange(const std::string& aId, listing aListing)
+gateway::OnListingChange(const std::string& aId, membership_change aListing)
 {
-  if (aListing == listing::Unchanged || aListing == listing::Changed) {
+  if (aListing == membership_change::Unchanged ||
+      aListing == membership_change::Changed) {
     return;
   }
   Log(log_level::Info,
@@ -276,13 +277,13 @@
       { { "endpoint", aId },
         { "change", ListingName(aListing) },
         { "known", mBoard.mEndpoints.mEndpoints.size() } });
-  if (aListing != listing::Joined) {
+  if (aListing != membership_change::Joined) {
     mConnections.CloseIdle(aId);
   }
-  if (aListing == listing::Leaving) {
+  if (aListing == membership_change::Leaving) {
     mCrashDetector.OnEndpointDraining(aId);
   }
-  if (aListing == listing::Left) {
+  if (aListing == membership_change::Left) {
     mCrashDetector.OnEndpointUnlisted(aId);
   }
 }
@@ -328,8 +329,8 @@
     std::max(mBoard.mEndpointListRevision, aResult.mRevision);
   if (aIsFullList) {
     for (const std::string& id :
-         ApplyWholeList(mBoard.mEndpoints, rows, aResult.mRevision)) {
-      OnListingChange(id, listing::Left);
+         ApplySnapshot(mBoard.mEndpoints, rows, aResult.mRevision)) {
+      OnListingChange(id, membership_change::Left);
       mEndpointRows.erase(id);
     }
     mBoard.mEndpointsKnown = true;
@@ -406,7 +407,7 @@
 {
   FlushLog();
   mConnections.CloseExpired();
-  ForgetExpired(mBoard.mLedger, mLoop.Now());
+  RemoveExpiredPlacements(mBoard.mLedger, mLoop.Now());
   mCrashDetector.Tick();
   if (mBoard.mDraining) {
     CheckDrained();
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -49,7 +49,7 @@
   void OnEndpointRows(const table_read_result& aResult, bool aIsFullList);
   /// Keeps the applied rows for peers, as the platform sent them.
   void StoreEndpointRows(const std::vector<row_change<std::string>>& aRows);
-  void OnListingChange(const std::string& aId, listing aListing);
+  void OnListingChange(const std::string& aId, membership_change aListing);
   /// Fetches rows from one of the peers that report newer state, and from
   /// another one if that peer does not answer.
   void FetchRowsFromPeer();
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -53,7 +53,7 @@
   manifest_pointer mManifest;
   time_point mManifestAppliedAt{};
   bool mEndpointsKnown = false; ///< The endpoint list was received.
-  endpoint_board mEndpoints;
+  endpoint_registry mEndpoints;
   /// Revision at which the store last showed the list; no row needs to have it.
   std::uint64_t mEndpointListRevision = 0;
   /// Time of the last answer of the store, by table.
