--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One connection of a caller: reads requests one after another and carries
-/// each answer back.
+/// One connection of a caller: parses its requests one after another and writes
+/// the answers.
 
 #include "LibGateway/Exchange.h"
 
@@ -12,17 +12,17 @@
   , public response_writer
 {
 public:
-  using closed = std::function<void(caller_connection&)>;
+  using closed_callback = std::function<void(caller_connection&)>;
 
   caller_connection(const gateway_context& aContext,
                     int aSocket,
-                    closed aClosed);
+                    closed_callback aOnClosed);
   ~caller_connection() override;
   caller_connection(const caller_connection&) = delete;
   caller_connection& operator=(const caller_connection&) = delete;
 
   bool Busy() const { return mExchange != nullptr; }
-  /// Closes the connection if no request is waiting on it.
+  /// Closes the connection unless a request is in progress or partly read.
   void CloseIfIdle();
 
   void OnInput(tcp_channel& aChannel) override;
@@ -32,7 +32,7 @@
   void Write(std::string_view aBytes) override;
   std::size_t Pending() const override;
   void Finish(bool aKeepAlive) override;
-  void Cut() override;
+  void Abort() override;
 
 private:
   void Read();
@@ -42,7 +42,7 @@
   void Close(bool aDrain);
 
   gateway_context mContext;
-  closed mClosed;
+  closed_callback mOnClosed;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
   std::shared_ptr<exchange> mExchange;
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// A caller that does not read may hold back this much of its stream before
-/// the endpoint is no longer read from.
-constexpr std::size_t kMostPending = std::size_t{ 256 } * 1024;
-/// Endpoints that could not be reached, for one request, before it is refused.
-constexpr std::size_t kMostUnreached = 4;
-/// Helpers that refused, for one request, before it is refused: with a third of
-/// the engines leaving unseen, five draws of twelve helpers find four of them.
-constexpr std::size_t kMostHelperRefusals = 5;
+/// Unsent bytes of a stream above which the gateway stops reading from the
+/// endpoint, because the caller reads too slowly.
+constexpr std::size_t kMaxPendingBytes = std::size_t{ 256 } * 1024;
+/// Failed connections to endpoints after which a request is refused.
+constexpr std::size_t kMaxConnectFailures = 4;
+/// Refusals by helpers after which a request is refused. With a third of the
+/// engines leaving without the gateway's knowledge, five selections of twelve
+/// helpers find four of those.
+constexpr std::size_t kMaxHelperRefusals = 5;
 
 constexpr unsigned kFirstError = 400;
 constexpr unsigned kFirstServerError = 500;
 constexpr unsigned kFirstRedirect = 300;
 
 bool
-IsGood(unsigned aStatus)
+IsSuccess(unsigned aStatus)
 {
   return aStatus < kFirstRedirect;
 }
@@ -30,18 +31,20 @@
 } // namespace
 
 void
-exchange::Sign(const attempt& aAttempt, endpoint_health_event aSign)
+exchange::UpdateEndpointHealth(const attempt& aAttempt,
+                               endpoint_health_event aSign)
 {
-  if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
-    Sign(*known, aSign);
+  if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
+    UpdateEndpointHealth(*known, aSign);
   }
 }
 
 void
-exchange::Sign(known_endpoint& aEndpoint, endpoint_health_event aSign)
+exchange::UpdateEndpointHealth(known_endpoint& aEndpoint,
+                               endpoint_health_event aSign)
 {
   const time_point now = mContext.mLoop.Now();
-  const bool was = IsAvoided(aEndpoint, now);
+  const bool wasAvoided = IsAvoided(aEndpoint, now);
   RecordHealthEvent(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_health_event::ConnectionBroken ||
       aSign == endpoint_health_event::Silent ||
@@ -49,12 +52,12 @@
     mContext.mGossipSender.AnnounceEndpointFailure(
       EngineKey(aEndpoint.mListed.mId));
   }
-  if (!was && IsAvoided(aEndpoint, now)) {
+  if (!wasAvoided && IsAvoided(aEndpoint, now)) {
     Log(log_level::Warning,
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
           { "address", aEndpoint.mListed.mAddress.Text() },
-          { "request", mFacts.mId },
+          { "request", mRequestInfo.mId },
           { "strikes", aEndpoint.mHealth.mBackoffFailures },
           { "for_ms", Milliseconds(aEndpoint.mHealth.mAvoidUntil - now) } });
   }
@@ -63,8 +66,8 @@
 known_endpoint*
 exchange::FindRefusingHelper(const attempt& aAttempt)
 {
-  const std::string& address = aAttempt.Facts().mFaultyHelperAddress;
-  if (mHelpers == 0 || address.empty()) {
+  const std::string& address = aAttempt.Info().mFaultyHelperAddress;
+  if (mHelperCount == 0 || address.empty()) {
     return nullptr;
   }
   for (auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
@@ -79,15 +82,15 @@
 void
 exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
-  Sign(aHelper, endpoint_health_event::PrefillHelpRefused);
+  UpdateEndpointHealth(aHelper, endpoint_health_event::PrefillHelpRefused);
   mContext.mGossipSender.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
   ReleaseAttempt();
-  // The engine that was sent the prompt did nothing and may be sent it again:
-  // this is none of the attempts that the route allows.
-  mTried.pop_back();
+  // The engine that received the prompt did no work and may receive it again,
+  // so this does not count as one of the attempts that the route allows.
+  mAttemptedEndpoints.pop_back();
   mExcludedEndpoints.pop_back();
   mExcludedEndpoints.push_back(aHelper.mListed.mId);
-  if (++mHelperRefusals <= kMostHelperRefusals && ConsumeRetryBudget()) {
+  if (++mHelperRefusals <= kMaxHelperRefusals && ConsumeRetryBudget()) {
     Retry(aWhy);
   } else {
     GiveUp(error_kind::Overloaded, aWhy);
@@ -95,11 +98,14 @@
 }
 
 void
-exchange::ReportUnfinishedAttempt(const attempt& aAttempt, bool aBrokeOff)
+exchange::ReportUnfinishedAttempt(const attempt& aAttempt,
+                                  bool aEndpointAtFault)
 {
-  if (aAttempt.Sent()) {
-    mContext.mCrashes.OnAttemptFailed(
-      { mDigest, aAttempt.Endpoint().mId, mAttemptHasEvents, aBrokeOff });
+  if (aAttempt.WasSent()) {
+    mContext.mCrashDetector.OnAttemptFailed({ mDigest,
+                                              aAttempt.Endpoint().mId,
+                                              mAttemptHasEvents,
+                                              aEndpointAtFault });
   }
 }
 
@@ -107,10 +113,10 @@
 exchange::RecordReportedLoad(const attempt& aAttempt)
 {
   if (mService->mEngine.has_value() &&
-      aAttempt.Facts().mReportedRequests.has_value()) {
+      aAttempt.Info().mReportedRequests.has_value()) {
     SetReportedRequests(mContext.mBoard.mLedger,
                         EngineKey(aAttempt.Endpoint().mId),
-                        *aAttempt.Facts().mReportedRequests,
+                        *aAttempt.Info().mReportedRequests,
                         mContext.mLoop.Now());
   }
 }
@@ -118,13 +124,13 @@
 void
 exchange::ApplyReportedLimit(const attempt& aAttempt)
 {
-  const answer_info& facts = aAttempt.Facts();
-  known_endpoint* const known = Known(aAttempt);
-  if (known == nullptr || facts.mWrongEndpoint) {
+  const answer_info& info = aAttempt.Info();
+  known_endpoint* const known = FindEndpoint(aAttempt);
+  if (known == nullptr || info.mWrongEndpoint) {
     return;
   }
   endpoint_limit& current = known->mLimit;
-  const bool limited = facts.mLimitPerSecond.has_value();
+  const bool limited = info.mLimitPerSecond.has_value();
   if (!limited && (!current.mPerSecond.has_value() ||
                    aAttempt.SentAt() < current.mObserved)) {
     // Answers on different connections can arrive out of order: the answer to a
@@ -133,7 +139,7 @@
   }
   const time_point now = mContext.mLoop.Now();
   const limit_report limit{ EngineKey(known->mListed.mId),
-                            facts.mLimitPerSecond,
+                            info.mLimitPerSecond,
                             now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
@@ -145,7 +151,7 @@
 void
 exchange::RecordEndpointActivity(const attempt& aAttempt)
 {
-  if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
+  if (known_endpoint* const known = FindEndpoint(aAttempt); known != nullptr) {
     known->mLastReceivedAt = mContext.mLoop.Now();
   }
 }
@@ -157,7 +163,7 @@
   RecordReportedLoad(aAttempt);
   ApplyReportedLimit(aAttempt);
   mStreaming =
-    mRoute->mKind == call_kind::Stream && IsGood(aAttempt.Head().mStatus);
+    mRoute->mKind == call_kind::Stream && IsSuccess(aAttempt.Head().mStatus);
   if (mStreaming && !mStreamHead.has_value()) {
     mStreamHead = aAttempt.Head();
   }
@@ -190,9 +196,9 @@
   mLastEventAt = now;
   std::string chunk;
   AppendChunk(chunk, events);
-  mPort->Write(chunk);
-  if (mPort->Pending() > kMostPending) {
-    mPaused = true;
+  mResponse->Write(chunk);
+  if (mResponse->Pending() > kMaxPendingBytes) {
+    mReadingPaused = true;
     aAttempt.PauseReading(true);
     mContext.mLoop.Cancel(mResponseTimer);
     return;
@@ -203,8 +209,8 @@
 void
 exchange::OnResponseDrained()
 {
-  if (mPaused && mAttempt != nullptr) {
-    mPaused = false;
+  if (mReadingPaused && mAttempt != nullptr) {
+    mReadingPaused = false;
     mAttempt->PauseReading(false);
   }
 }
@@ -214,9 +220,9 @@
 {
   const std::shared_ptr<exchange> self = shared_from_this();
   const unsigned status = aAttempt.Head().mStatus;
-  mContext.mCrashes.OnRequestAnswered(mDigest);
+  mContext.mCrashDetector.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
-    Sign(aAttempt, endpoint_health_event::Failed);
+    UpdateEndpointHealth(aAttempt, endpoint_health_event::Failed);
     if (CanRetryElsewhere() && ConsumeRetryBudget()) {
       mMayHaveRun = true;
       ReleaseAttempt();
@@ -224,11 +230,11 @@
       return;
     }
   } else {
-    Sign(aAttempt, endpoint_health_event::Answered);
+    UpdateEndpointHealth(aAttempt, endpoint_health_event::Answered);
   }
   if (!mStreaming) {
     if (mHeadWritten) {
-      // A stream that was to go on elsewhere was refused there.
+      // The endpoint that should have resumed the stream refused.
       ReleaseAttempt();
       GiveUp(error_kind::StreamBroken, "resume_failed");
       return;
@@ -244,7 +250,7 @@
   std::string rest;
   AppendChunk(rest, aAttempt.Body());
   rest.append(kLastChunk);
-  mPort->Write(rest);
+  mResponse->Write(rest);
   ReleaseAttempt();
   End("answered", "");
 }
@@ -255,12 +261,12 @@
   std::string body = std::move(aAttempt.Body());
   mFirstEventAt = mContext.mLoop.Now();
   WriteHead(aAttempt.Head(), body.size());
-  mPort->Write(body);
-  const bool good = aAttempt.Head().mStatus < kFirstError;
+  mResponse->Write(body);
+  const bool success = aAttempt.Head().mStatus < kFirstError;
   const std::string why =
-    good ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
+    success ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
   ReleaseAttempt();
-  End(good ? "answered" : "endpoint_failed", why);
+  End(success ? "answered" : "endpoint_failed", why);
 }
 
 void
@@ -283,7 +289,7 @@
     AppendField(head, "Connection", "close");
   }
   head.append("\r\n");
-  mPort->Write(head);
+  mResponse->Write(head);
 }
 
 void
@@ -295,34 +301,35 @@
   const std::string id = aAttempt.Endpoint().mId;
   Log(log_level::Info,
       "attempt_ended",
-      { { "request", mFacts.mId },
+      { { "request", mRequestInfo.mId },
         { "endpoint", id },
         { "digest", DigestText(mDigest) },
         { "why", aWhy },
         { "answer_begun", static_cast<int>(aAttempt.AnswerStarted()) },
-        { "at_fault", aAttempt.Facts().mFaultyHelperAddress },
+        { "at_fault", aAttempt.Info().mFaultyHelperAddress },
         { "after_ms", Milliseconds(mContext.mLoop.Now() - aAttempt.SentAt()) },
         { "last_event", mCursor.LastId().value_or(0) } });
-  const bool elsewhere = aAttempt.Facts().mWrongEndpoint;
+  const bool wrongEndpoint = aAttempt.Info().mWrongEndpoint;
   switch (aEnd) {
     case attempt_end::NotConnected:
-      Sign(aAttempt, endpoint_health_event::Unreachable);
+      UpdateEndpointHealth(aAttempt, endpoint_health_event::Unreachable);
       if (aAttempt.ConnectionRefused()) {
-        mContext.mCrashes.OnEndpointCrashed(id, "refused");
+        mContext.mCrashDetector.OnEndpointCrashed(id, "refused");
       }
       ReleaseAttempt();
-      mTried.pop_back();
-      if (mExcludedEndpoints.size() - mTried.size() >= kMostUnreached) {
+      mAttemptedEndpoints.pop_back();
+      if (mExcludedEndpoints.size() - mAttemptedEndpoints.size() >=
+          kMaxConnectFailures) {
         GiveUp(error_kind::NoEndpoint, "unreachable");
         return;
       }
       Retry(aWhy);
       return;
-    case attempt_end::Stale:
-      // The same endpoint, on a new connection.
+    case attempt_end::StaleConnection:
+      // Retry on the same endpoint with a new connection.
       ReportUnfinishedAttempt(aAttempt, true);
       ReleaseAttempt();
-      mTried.pop_back();
+      mAttemptedEndpoints.pop_back();
       mExcludedEndpoints.pop_back();
       mNeedsNewConnection = true;
       mMayHaveRun = true;
@@ -332,12 +339,13 @@
         GiveUp(error_kind::EndpointFailed, aWhy);
       }
       return;
-    case attempt_end::NotRun:
+    case attempt_end::NotExecuted:
       RecordReportedLoad(aAttempt);
       ApplyReportedLimit(aAttempt);
-      if (elsewhere) {
-        Sign(aAttempt, endpoint_health_event::AddressReassigned);
-        mContext.mCrashes.OnEndpointCrashed(id, "address_of_another");
+      if (wrongEndpoint) {
+        UpdateEndpointHealth(aAttempt,
+                             endpoint_health_event::AddressReassigned);
+        mContext.mCrashDetector.OnEndpointCrashed(id, "address_of_another");
       }
       if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
           helper != nullptr) {
@@ -345,7 +353,8 @@
         return;
       }
       ReleaseAttempt();
-      if (mTried.size() < mRoute->mMaxAttempts && ConsumeRetryBudget()) {
+      if (mAttemptedEndpoints.size() < mRoute->mMaxAttempts &&
+          ConsumeRetryBudget()) {
         Retry(aWhy);
         return;
       }
@@ -354,8 +363,8 @@
     case attempt_end::ConnectionLost:
       ReportUnfinishedAttempt(aAttempt, true);
       [[fallthrough]];
-    case attempt_end::Broken:
-      Sign(aAttempt, endpoint_health_event::ConnectionBroken);
+    case attempt_end::InvalidAnswer:
+      UpdateEndpointHealth(aAttempt, endpoint_health_event::ConnectionBroken);
       mMayHaveRun = true;
       ReleaseAttempt();
       if (CanRetryElsewhere() && ConsumeRetryBudget()) {
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A gateway between callers and endpoints that answer as a test says.
+/// Fixtures with a gateway between callers and endpoints whose answers a test
+/// defines.
 
 #include "Standin.h"
 
@@ -10,7 +11,7 @@
 
 using connection = standin_server::connection;
 
-/// An endpoint that keeps what it was sent and answers as it is told.
+/// An endpoint that records its requests and answers them with `mAnswer`.
 struct endpoint_fixture
 {
   explicit endpoint_fixture(event_loop& aLoop)
@@ -36,7 +37,7 @@
 
   std::vector<http_head> mHeads;
   std::vector<std::string> mBodies;
-  connection* mLast = nullptr;
+  connection* mLast = nullptr; ///< Of the last request.
   std::function<void(connection&, const http_head&)> mAnswer;
   standin_server mServer;
 };
@@ -48,7 +49,7 @@
   aConnection.Next();
 }
 
-/// Names a limit of one request per second for all entries together.
+/// Reports a limit of one request per second for all gateways together.
 inline void
 AnswerLimited(connection& aConnection, const http_head& aHead)
 {
@@ -67,6 +68,8 @@
   aConnection.Next();
 }
 
+/// A gateway with one endpoint of the service "desk" listed. Tests list the
+/// other endpoints themselves.
 struct world : gateway_world
 {
   world()
@@ -80,6 +83,7 @@
     List("i-desk", "desk", mDeskEndpoint.mServer.Address());
   }
 
+  /// Sends a request on a new connection.
   standin_caller& Ask(const std::string& aBytes)
   {
     mCallers.push_back(
@@ -88,6 +92,7 @@
     return *mCallers.back();
   }
 
+  /// Sends a request and waits for its answer.
   standin_caller& Answered(const std::string& aBytes)
   {
     standin_caller& caller = Ask(aBytes);
@@ -96,7 +101,7 @@
     return caller;
   }
 
-  /// What the metrics address answers.
+  /// Scrapes the metrics.
   std::string Metrics()
   {
     standin_caller reader(mLoop, mGateway->MetricsPort());
@@ -107,16 +112,17 @@
   }
 
   endpoint_fixture mDeskEndpoint;
-  endpoint_fixture mSecond;
-  endpoint_fixture mModel;
+  endpoint_fixture mSecond; ///< Not listed at first.
+  endpoint_fixture mModel;  ///< Not listed at first.
   std::vector<std::unique_ptr<standin_caller>> mCallers;
 };
 
-/// Where nothing answers.
+/// An address of a store at which nothing listens.
 inline const ip_address kUnreachableStore{ "127.0.0.3", 9 };
 
-/// A second entry, on another loopback address, that knows the first. Both need
-/// the same port for peers, which the first one's settings name.
+/// Starts a second gateway, on another loopback address, with the first one as
+/// its seed. Both need the same peer port, which the settings of the first one
+/// define.
 inline std::unique_ptr<gateway>
 StartSecondGateway(world& aWorld, const ip_address& aStore)
 {
