--- a/Libraries/LibCore/Address.h
+++ b/Libraries/LibCore/Address.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Addresses of processes: IP numbers and ports, as settings and the
-/// platform's list give them.
+/// IPv4 addresses with ports, as they are written in the settings and in the
+/// platform's list of endpoints.
 
 #include "LibCore/Error.h"
 
@@ -9,7 +9,7 @@
 
 namespace primrose {
 
-/// An address in the form `1.2.3.4:5678`; names are not looked up.
+/// An address of the form `1.2.3.4:5678`. Host names are not resolved.
 struct ip_address
 {
   std::string mHost;
@@ -19,6 +19,7 @@
   std::string Text() const;
 };
 
+/// Fails with `BadValue` if the text is not of that form.
 result<ip_address>
 ParseAddress(const std::string& aText);
 
--- a/Libraries/LibCore/Clock.h
+++ b/Libraries/LibCore/Clock.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Time: standard types only. Decisions receive the time as an argument; what
-/// must ask for it takes a `clock_source`, so that tests hand in a manual one.
+/// Time types and clocks. Decision code receives the time as an argument. Code
+/// that has to query the time takes a `clock_source`, so that tests can pass a
+/// manual clock.
 
 #include <chrono>
 
@@ -12,8 +13,8 @@
 using wall_time =
   std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// A source of time. `Now` is monotonic and is what deadlines and leases are
-/// measured with; `Wall` is only for records that people read.
+/// A clock. `Now` is monotonic and is used for deadlines and leases. `Wall` is
+/// the wall-clock time, used only in records for operators.
 class clock_source
 {
 public:
@@ -22,7 +23,7 @@
   virtual wall_time Wall() const = 0;
 };
 
-/// The machine's own clocks.
+/// The clocks of the operating system.
 class system_clock_source final : public clock_source
 {
 public:
@@ -30,7 +31,8 @@
   wall_time Wall() const override;
 };
 
-/// A clock that moves only when told to; for tests and virtual time.
+/// A clock that only advances through `Advance` and `Set`; for tests and
+/// simulations in virtual time.
 class manual_clock_source final : public clock_source
 {
 public:
@@ -43,14 +45,15 @@
   time_point mNow{};
 };
 
-/// Seconds as a floating number, for reports and formulas.
+/// A duration as floating-point seconds, for reports and formulas.
 constexpr double
 Seconds(duration aDuration)
 {
   return std::chrono::duration<double>(aDuration).count();
 }
 
-/// Milliseconds, rounded down; the unit of every wire field that is a time.
+/// A duration in whole milliseconds, truncated. Every time field on the wire is
+/// in milliseconds.
 constexpr std::int64_t
 Milliseconds(duration aDuration)
 {
@@ -58,7 +61,7 @@
     .count();
 }
 
-/// The nearest whole nanosecond of a number of seconds.
+/// Converts seconds to a duration, truncated to whole nanoseconds.
 constexpr duration
 FromSeconds(double aSeconds)
 {
--- a/Libraries/LibCore/Error.cpp
+++ b/Libraries/LibCore/Error.cpp
@@ -166,8 +166,8 @@
 const error_answer&
 AnswerFor(error_kind aKind)
 {
-  // NOTE: The table stands in the order of the enumeration; a unit test
-  // compares every row's kind with its place.
+  // NOTE: The rows are in the order of the enumeration; a unit test compares
+  // the kind of each row with its index.
   return kErrorTable.at(static_cast<std::size_t>(aKind));
 }
 
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The closed list of error kinds and the one table from kind to answer.
-/// Everything that a caller or an operator is told about a failure comes from
-/// this table; no other place chooses an HTTP status.
+/// The closed list of error kinds and the table that maps each kind to its
+/// HTTP status and text. Every failure reported to a caller or an operator goes
+/// through this table; no other code chooses an HTTP status for a failure.
 
 #include <boost/leaf.hpp>
 
@@ -15,8 +15,8 @@
 
 namespace leaf = boost::leaf;
 
-/// Whether the work of a request has happened. `No` is a promise: it is only
-/// said when nothing can run any more.
+/// Whether the work of a request was executed. `No` is a guarantee: it is only
+/// used when the work has not run and can no longer start.
 enum class ran_state : std::uint8_t
 {
   No,
@@ -59,7 +59,7 @@
   Internal,
 };
 
-/// One row of the table: how a kind is answered.
+/// One row of the error table: how a failure of this kind is reported.
 struct error_answer
 {
   error_kind mKind;
@@ -69,11 +69,11 @@
   std::string_view mMeaning;
 };
 
-/// The table's row for a kind.
+/// The row of the error table for a kind.
 const error_answer&
 AnswerFor(error_kind aKind);
 
-/// The kind with this name, if there is one.
+/// The kind with this name, or nothing if there is none.
 std::optional<error_kind>
 ParseErrorKind(std::string_view aName);
 
@@ -82,7 +82,7 @@
 std::optional<ran_state>
 ParseRanState(std::string_view aName);
 
-/// A failure with what the person who meets it needs to know.
+/// A failure with the details that are reported to the caller or operator.
 struct failure
 {
   error_kind mKind = error_kind::Internal;
@@ -102,8 +102,8 @@
 leaf::error_id
 Fail(failure aFailure);
 
-/// Runs `aBody` and gives either its value or the failure it ended with.
-/// The bridge between LEAF results and places that keep failures as values.
+/// Either a value or a failure, for code that stores failures as values rather
+/// than propagating them as LEAF errors.
 template<typename T>
 struct outcome
 {
@@ -112,6 +112,8 @@
   explicit operator bool() const { return mValue.has_value(); }
 };
 
+/// Runs `aBody` and converts its LEAF result to an `outcome`. An error that
+/// carries no `failure` becomes an `Internal` one.
 template<typename T, typename Body>
 outcome<T>
 Capture(Body&& aBody)
--- a/Libraries/LibCore/Identity.h
+++ b/Libraries/LibCore/Identity.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Identifiers and hashes. A request's id begins with the name of the entry
-/// that admitted it, so that anybody can tell who can explain it.
+/// Identifiers and hashes. A request's id starts with the name of the process
+/// that admitted it, so the id alone shows which process has the records to
+/// explain that request.
 
 #include <cstdint>
 #include <string>
@@ -9,12 +10,14 @@
 
 namespace primrose {
 
-/// xxHash (XXH3, 64 bits) of a text; stable across processes and versions.
+/// xxHash (XXH3, 64 bits) of a text. The value is the same in all processes and
+/// versions.
 std::uint64_t
 Hash(std::string_view aText, std::uint64_t aSeed = 0);
 
-/// Makes ids that are unique across processes and restarts: the owner's name,
-/// a random incarnation, a counter.
+/// Makes ids that are unique across processes and restarts. An id consists of
+/// the owner's name, a random incarnation number of the process and a counter,
+/// separated by dots.
 class id_maker
 {
 public:
@@ -27,12 +30,14 @@
   std::uint64_t mCounter = 0;
 };
 
-/// The owner's name within an id made by `id_maker`; empty if it is not one.
+/// The owner's name in an id made by `id_maker`; empty if the text is not such
+/// an id.
 std::string_view
 OwnerOf(std::string_view aId);
 
-/// The order in which a key prefers nodes (rendezvous hashing): a node with a
-/// higher weight comes first, and when a node goes only its keys move.
+/// The weight of a node for a key in rendezvous hashing: the key is assigned to
+/// the node with the highest weight. When a node is removed, only its own keys
+/// are reassigned.
 std::uint64_t
 RendezvousWeight(std::string_view aKey, std::string_view aNode);
 
--- a/Libraries/LibCore/LibCore.h
+++ b/Libraries/LibCore/LibCore.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// LibCore: what every other part needs, without sockets and loops: the closed
-/// list of error kinds, the clock interface, identifiers, seeded randomness,
-/// reading of small files.
+/// LibCore: basic types and helpers for all other libraries: error kinds,
+/// clocks, identifiers, seeded random numbers, addresses, reading of small
+/// files. It uses no sockets and no event loop.
 
 #include "LibCore/Address.h"
 #include "LibCore/Clock.h"
--- a/Libraries/LibCore/Random.cpp
+++ b/Libraries/LibCore/Random.cpp
@@ -8,16 +8,16 @@
 FreshSeed()
 {
   std::random_device device;
-  constexpr unsigned kHalfWord = 32;
-  return (static_cast<std::uint64_t>(device()) << kHalfWord) | device();
+  constexpr unsigned kHalfWordBits = 32;
+  return (static_cast<std::uint64_t>(device()) << kHalfWordBits) | device();
 }
 
 double
 Uniform(random_engine& aEngine)
 {
-  constexpr unsigned kDropped = 11;
+  constexpr unsigned kDroppedBits = 11;
   constexpr double kScale = 0x1.0p-53;
-  return static_cast<double>(aEngine() >> kDropped) * kScale;
+  return static_cast<double>(aEngine() >> kDroppedBits) * kScale;
 }
 
 std::uint64_t
--- a/Libraries/LibCore/Random.h
+++ b/Libraries/LibCore/Random.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Seeded randomness. Decisions draw from a generator that their caller owns,
-/// so that the same seed gives the same run.
+/// Seeded random numbers. Decision code uses a generator that is passed in by
+/// the caller, so that a run can be reproduced from its seed.
 
 #include <cstdint>
 #include <random>
@@ -10,12 +10,12 @@
 
 using random_engine = std::mt19937_64;
 
-/// A seed that differs for every process start.
+/// A random seed from the operating system, different at each process start.
 std::uint64_t
 FreshSeed();
 
-/// Uniform in [0, 1). Same result on every platform, unlike the standard
-/// distributions, whose algorithms are left to the library.
+/// Uniform in [0, 1). Gives the same numbers on every platform. The standard
+/// distributions don't, because their algorithms depend on the library.
 double
 Uniform(random_engine& aEngine);
 
@@ -23,7 +23,7 @@
 std::uint64_t
 Below(random_engine& aEngine, std::uint64_t aBound);
 
-/// Exponentially distributed with this mean.
+/// Exponentially distributed with the given mean.
 double
 Exponential(random_engine& aEngine, double aMean);
 
--- a/Libraries/LibCore/Text.cpp
+++ b/Libraries/LibCore/Text.cpp
@@ -32,7 +32,8 @@
 NearestWord(std::string_view aWord, const std::vector<std::string>& aKnown)
 {
   constexpr std::size_t kLengthPerEdit = 3;
-  // Two letters that changed places are two edits.
+  // The + 2 always allows one edit, and two (such as a pair of swapped letters)
+  // from three letters on.
   std::size_t best = aWord.size() / kLengthPerEdit + 2;
   std::optional<std::string> nearest;
   for (const std::string& known : aKnown) {
--- a/Libraries/LibCore/Text.h
+++ b/Libraries/LibCore/Text.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Small helpers for texts that people read.
+/// Helpers for parsing text and for error messages.
 
 #include <optional>
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace primrose {
 
-/// The known word nearest to a mistyped one (edit distance of at most a third
-/// of its length), for "did you mean".
+/// The known word nearest to a mistyped one, for "did you mean" hints; nothing
+/// if none is within an edit distance of a third of the word's length plus one.
 std::optional<std::string>
 NearestWord(std::string_view aWord, const std::vector<std::string>& aKnown);
 
-/// A finite decimal number that uses the whole text, or nothing.
+/// Parses a finite decimal number; nothing unless the whole text is one.
 std::optional<double>
 ParseNumber(std::string_view aText);
 
--- a/Libraries/LibDaemon/AddressFile.h
+++ b/Libraries/LibDaemon/AddressFile.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The file in which a process says where it listens, for whoever started it
-/// with port 0.
+/// The address file: a process writes its listen addresses there, so that the
+/// program that started it with port 0 learns the actual ports.
 
 #include "LibCore/LibCore.h"
 
@@ -10,8 +10,8 @@
 
 namespace primrose {
 
-/// Writes the members, the process id among them, as one JSON object. The file
-/// appears whole or not at all. Nothing is done if the path is empty.
+/// Writes the members and the process id as one JSON object. The file is
+/// replaced atomically by a rename. Does nothing if the path is empty.
 result<void>
 WriteAddressFile(const std::string& aPath,
                  std::map<std::string, std::string> aMembers);
--- a/Libraries/LibDaemon/CommandLine.h
+++ b/Libraries/LibDaemon/CommandLine.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The options that every program takes: --help, --version, --settings FILE,
-/// --check, --log-level; and the ends of a program: 0 well, 1 failed, 2 wrong
+/// Command-line options that all programs have: --help, --version, --settings
+/// FILE, --check, --log-level. Exit codes: 0 success, 1 failure, 2 wrong
 /// arguments or settings.
 
 #include "LibCore/LibCore.h"
@@ -24,8 +24,8 @@
   std::string mVersion;
   std::string mPurpose;
   boost::program_options::options_description mExtraOptions{ "More options" };
-  /// An environment variable that names the settings file where --settings
-  /// does not; empty if there is none.
+  /// Name of the environment variable with the path of the settings file, used
+  /// if --settings is not given. Empty if the program has no such variable.
   std::string mSettingsEnvironmentVariable;
 };
 
@@ -37,21 +37,21 @@
   boost::program_options::variables_map mValues;
 };
 
-/// Reads the arguments. Gives an exit code where the program has to end now:
-/// help or the version was printed, or the arguments are wrong (one line on
-/// standard error).
+/// Parses the arguments. Returns an exit code if the program has to exit now:
+/// help or the version was printed, or the arguments are wrong (reported in one
+/// line on standard error).
 std::optional<int>
 ReadCommandLine(int aCount,
                 const char* const* aArguments,
                 const program_description& aProgram,
                 common_options& aOptions);
 
-/// Prints a failure as one line and gives the exit code for it.
+/// Prints a failure as one line on standard error and returns its exit code.
 int
 ReportFailure(const std::string& aProgram, const failure& aFailure);
 
-/// A whole program: reads the arguments, runs `aStart` with them and gives the
-/// exit code of `main`. A failure is printed as one line.
+/// The body of `main`: parses the arguments, runs `aStart` with them and
+/// returns the exit code. A failure is printed as one line.
 int
 RunProgram(int aCount,
            const char* const* aArguments,
--- a/Libraries/LibDaemon/LibDaemon.h
+++ b/Libraries/LibDaemon/LibDaemon.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// LibDaemon: what the programs have in common: the command line, the main
-/// loop with signals, the address file.
+/// LibDaemon: code shared by all programs: command line, main loop with signal
+/// handling, address file.
 
 #include "LibDaemon/AddressFile.h"
 #include "LibDaemon/CommandLine.h"
--- a/Libraries/LibDaemon/MainLoop.cpp
+++ b/Libraries/LibDaemon/MainLoop.cpp
@@ -10,8 +10,8 @@
 main_loop::main_loop()
   : mLoop(g_main_loop_new(nullptr, FALSE))
 {
-  // Writing to a connection that the peer closed must be an error of that
-  // write, not the end of the process.
+  // Without this, writing to a connection that the peer has closed would end
+  // the process. The write now fails with EPIPE instead.
   (void)std::signal(SIGPIPE, SIG_IGN);
   mSignals[0] = g_unix_signal_add(SIGTERM, &Terminate, this);
   mSignals[1] = g_unix_signal_add(SIGINT, &Terminate, this);
--- a/Libraries/LibDaemon/MainLoop.h
+++ b/Libraries/LibDaemon/MainLoop.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// One thread, one loop: GLib's main loop with the KJ event loop inside it.
+/// The main loop of a single-threaded program: GLib's main loop, which also
+/// drives the KJ event loop.
 
 #include "LibWire/LibWire.h"
 
@@ -16,12 +17,14 @@
   main_loop(const main_loop&) = delete;
   main_loop& operator=(const main_loop&) = delete;
 
-  /// Runs until `Quit`; gives the exit code.
+  /// Runs until `Quit` and returns its exit code.
   int Run();
   void Quit(int aExitCode);
-  /// Ends well after a moment in which the last answers can leave.
+  /// Quits with exit code 0 after a short delay, so that the last answers can
+  /// still be sent.
   void QuitAfterDelay();
-  /// Called at SIGTERM and SIGINT; the second signal quits at once.
+  /// Sets the handler for the first SIGTERM or SIGINT. A second signal quits at
+  /// once with exit code 1. Without a handler, a signal quits with 0.
   void OnTerminate(std::function<void()> aHandler);
   kj::WaitScope& Scope() { return mPort.Scope(); }
 
@@ -37,7 +40,7 @@
   bool mTerminating = false;
 };
 
-/// Logs the failures of tasks that nobody waits for.
+/// Logs exceptions of background tasks whose results are not awaited.
 class task_failure_logger final : public kj::TaskSet::ErrorHandler
 {
 public:
--- a/Libraries/LibObserve/BoundedOutput.cpp
+++ b/Libraries/LibObserve/BoundedOutput.cpp
@@ -23,11 +23,11 @@
     ++mDropped;
     return;
   }
-  if (mDropped != mReported) {
+  if (mDropped != mReportedDropped) {
     mBuffer.append("level=warning event=log_lines_dropped lines=")
-      .append(std::to_string(mDropped - mReported))
+      .append(std::to_string(mDropped - mReportedDropped))
       .append("\n");
-    mReported = mDropped;
+    mReportedDropped = mDropped;
   }
   mBuffer.append(aLine).append("\n");
 }
@@ -39,7 +39,8 @@
     const ssize_t written =
       write(mDescriptor, mBuffer.data() + mSent, Pending());
     if (written <= 0) {
-      // The reader is slow or gone; the rest waits, bounded by Append.
+      // The pipe is full or closed. The rest stays buffered; Append limits
+      // the buffer's size.
       break;
     }
     mSent += static_cast<std::size_t>(written);
@@ -52,9 +53,9 @@
 TakeLine(line_rate_limiter& aBudget, double aNow)
 {
   aBudget.mAvailableLines = std::min(
-    aBudget.mMost,
-    aBudget.mAvailableLines + (aNow - aBudget.mAt) * aBudget.mPerSecond);
-  aBudget.mAt = aNow;
+    aBudget.mMaxBurst,
+    aBudget.mAvailableLines + (aNow - aBudget.mUpdatedAt) * aBudget.mPerSecond);
+  aBudget.mUpdatedAt = aNow;
   if (aBudget.mAvailableLines < 1) {
     return false;
   }
--- a/Libraries/LibObserve/BoundedOutput.h
+++ b/Libraries/LibObserve/BoundedOutput.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Output that never waits for its reader: lines gather in a bounded buffer and
-/// go out when the reader takes them; what does not fit is dropped, counted and
-/// reported. A log that blocks would stop every caller's answer when whoever
-/// reads the log stops.
+/// Non-blocking line output. Lines are kept in a bounded buffer until the
+/// descriptor accepts them. Lines that don't fit are dropped and counted, and
+/// the count is reported by a line of its own. Blocking writes would stall all
+/// requests of the process whenever the reader of the log stops.
 
 #include <cstdint>
 #include <string>
@@ -14,16 +14,18 @@
 class bounded_output
 {
 public:
-  /// Writes to a descriptor, which is made non-blocking and stays the
-  /// caller's own.
+  /// Writes to a descriptor, which is set to non-blocking. The caller keeps
+  /// ownership and closes it.
   bounded_output(int aDescriptor, std::size_t aMaxBufferedBytes);
 
-  /// Takes a line without its end, or drops it if there is no room.
+  /// Buffers a line, given without its line break; drops it if the buffer has
+  /// no room.
   void Append(std::string_view aLine);
-  /// Hands over what the reader takes now.
+  /// Writes as much as the descriptor accepts now.
   void Flush();
+  /// Buffered bytes that are not yet written.
   std::size_t Pending() const { return mBuffer.size() - mSent; }
-  /// Lines dropped since the start.
+  /// Lines dropped since the process started.
   std::uint64_t Dropped() const { return mDropped; }
 
 private:
@@ -32,22 +34,21 @@
   std::string mBuffer;
   std::size_t mSent = 0;
   std::uint64_t mDropped = 0;
-  std::uint64_t mReported = 0;
+  std::uint64_t mReportedDropped = 0;
 };
 
-/// How many lines of one kind may be written: so many a second, and so many at
-/// once after a quiet time.
+/// Token bucket that limits the rate of one class of log lines.
 struct line_rate_limiter
 {
   double mPerSecond = 0;
-  double mMost = 0;
+  double mMaxBurst = 0; ///< Capacity of the bucket, in lines.
   double mAvailableLines = 0;
-  double mAt = 0; ///< Seconds, of any steady clock.
+  double mUpdatedAt = 0; ///< Last refill, in seconds of a steady clock.
 
   bool operator==(const line_rate_limiter&) const = default;
 };
 
-/// Takes one line; false if the budget is used up.
+/// Takes one line from the bucket; false if it is empty. `aNow` is in seconds.
 bool
 TakeLine(line_rate_limiter& aBudget, double aNow);
 
--- a/Libraries/LibObserve/Log.cpp
+++ b/Libraries/LibObserve/Log.cpp
@@ -52,13 +52,14 @@
   return false;
 }
 
-/// Lines a second of each kind: a routine request takes two, and an entry that
-/// carries a third of a burst of 400 requests a second takes 270 of them.
+/// Rate limit of each class of lines (routine lines; warnings and errors). A
+/// routine request logs two lines, so a gateway with a third of a burst of 400
+/// requests a second logs about 270 lines a second.
 constexpr double kLinesPerSecond = 300;
 constexpr double kMaxLineBurst = 1500;
-/// What a reader that stopped may hold back.
-constexpr std::size_t kMostBytes = std::size_t{ 256 } * 1024;
-/// Gathered routine lines go out at this size, or with the next `FlushLog`.
+/// Maximum of unwritten output; further lines are dropped.
+constexpr std::size_t kMaxPendingLogBytes = std::size_t{ 256 } * 1024;
+/// Buffered routine lines are written at this size, or by the next `FlushLog`.
 constexpr std::size_t kFlushThresholdBytes = std::size_t{ 8 } * 1024;
 
 class bounded_sink final
@@ -66,7 +67,7 @@
 {
 public:
   bounded_sink()
-    : mOutput(STDOUT_FILENO, kMostBytes)
+    : mOutput(STDOUT_FILENO, kMaxPendingLogBytes)
   {
   }
   std::uint64_t Dropped() const
@@ -81,7 +82,7 @@
     const double now = std::chrono::duration<double>(
                          std::chrono::steady_clock::now().time_since_epoch())
                          .count();
-    if (!TakeLine(failure ? mFailures : mRoutineLimiter, now)) {
+    if (!TakeLine(failure ? mFailureLimiter : mRoutineLimiter, now)) {
       ++mRateLimitedLines;
       return;
     }
@@ -101,10 +102,10 @@
                                      kMaxLineBurst,
                                      kMaxLineBurst,
                                      0 };
-  line_rate_limiter mFailures{ kLinesPerSecond,
-                               kMaxLineBurst,
-                               kMaxLineBurst,
-                               0 };
+  line_rate_limiter mFailureLimiter{ kLinesPerSecond,
+                                     kMaxLineBurst,
+                                     kMaxLineBurst,
+                                     0 };
   std::uint64_t mRateLimitedLines = 0;
 };
 
@@ -132,7 +133,7 @@
       quoted += '\\';
       quoted += c;
     } else if (static_cast<unsigned char>(c) < ' ') {
-      // A line break inside a value would forge a second event.
+      // Unescaped, a line break in a value could inject a forged log line.
       quoted += fmt::format("\\x{:02x}", static_cast<unsigned char>(c));
     } else {
       quoted += c;
--- a/Libraries/LibObserve/Log.h
+++ b/Libraries/LibObserve/Log.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Logs: one line of key=value pairs for each event, on standard error or, for
-/// daemons whose output somebody collects, on standard output.
+/// Logging: each event is one line of key=value pairs, on standard error or,
+/// for daemons whose output a log collector reads, on standard output.
 
 #include <cstdint>
 #include <initializer_list>
@@ -19,8 +19,9 @@
   Error,
 };
 
-/// One pair of a log line. Numbers are written plainly, texts are quoted where
-/// they hold a blank, a quote, an equals sign or a control character.
+/// One key=value pair of a log line. Text is quoted if it is empty or contains
+/// a space, a quote, a backslash, an equals sign or a control character.
+/// Numbers are not quoted.
 struct log_field
 {
   std::string_view mKey;
@@ -38,21 +39,24 @@
   }
 };
 
-/// Sets up the process's log: `aProcess` is written on each line as `by=`.
+/// Starts logging to standard error. Each line has `aProcess` as its `by=`
+/// field.
 void
 StartLog(const std::string& aProcess, log_level aLevel);
 
-/// The same on standard output, without ever waiting for its reader and within
-/// budgets: routine lines (below warning) and failures have one each, so that
-/// a flood of the first never costs one of the second.
+/// Starts logging to standard output, without blocking on its reader and with
+/// rate limits. Routine lines (below warning) and failures have separate
+/// limits, so that a flood of routine lines doesn't use up the rate of
+/// failures.
 void
 StartBoundedLog(const std::string& aProcess, log_level aLevel);
 
-/// Hands over what is gathered; a bounded log gathers routine lines.
+/// Writes buffered lines. Only a bounded log buffers its routine lines.
 void
 FlushLog();
 
-/// Lines that a bounded log has left out, for want of budget or of a reader.
+/// Lines that a bounded log dropped, over the rate limit or because the buffer
+/// was full; 0 if the log is not bounded.
 std::uint64_t
 DroppedLogLines();
 
@@ -62,11 +66,11 @@
     std::string_view aEvent,
     std::initializer_list<log_field> aFields);
 
-/// The level with this name (debug, info, warning, error); false if none.
+/// Parses a level's name (debug, info, warning or error); false if unknown.
 bool
 ParseLogLevel(std::string_view aName, log_level& aLevel);
 
-/// A value as a log line shows it.
+/// A value as it is written in a log line, quoted and escaped where necessary.
 std::string
 QuoteLogValue(std::string_view aValue);
 
--- a/Libraries/LibObserve/Metrics.cpp
+++ b/Libraries/LibObserve/Metrics.cpp
@@ -17,8 +17,9 @@
 
 namespace acc = boost::accumulators;
 
-/// Seconds. They take in the objectives and pause limits of both deployments
-/// (0.1 to 4 s), the time limits of calls, and what a lookup takes.
+/// Upper bounds of histogram buckets, in seconds. They cover the latency
+/// targets and pause limits of both deployments (0.1 to 4 s), the time limits
+/// of calls and the duration of a lookup.
 constexpr std::array<double, 17> kBucketBounds = {
   0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.25,
   0.3,   0.6,   1,    1.5,  3,    4,   10,   15
@@ -77,7 +78,8 @@
 histogram::Write(std::string& aText, const std::string& aName) const
 {
   aText += fmt::format("# TYPE {} histogram\n", aName);
-  // The bucket before the first bound counts what lies under it.
+  // Bucket i - 1 holds the values between bounds i - 1 and i; bucket -1 is the
+  // underflow bucket below the first bound.
   double below = 0;
   for (std::size_t i = 0; i < kBucketBounds.size(); ++i) {
     below +=
--- a/Libraries/LibObserve/Metrics.h
+++ b/Libraries/LibObserve/Metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Metrics: counters, gauges and distributions, written in the text exposition
-/// format that monitoring systems scrape.
+/// Metrics: counters, gauges and histograms, written in the Prometheus text
+/// exposition format.
 
 #include <map>
 #include <memory>
@@ -10,9 +10,9 @@
 
 namespace primrose {
 
-/// A distribution of times in seconds: how many observations fell under each of
-/// a row of bounds. Unlike percentiles, such counts can be added up over
-/// processes. Constant memory.
+/// A histogram of times in seconds, with fixed bucket bounds and constant
+/// memory. Unlike percentiles, bucket counts of several processes can be added
+/// up.
 class histogram
 {
 public:
@@ -22,7 +22,7 @@
   histogram& operator=(const histogram&) = delete;
 
   void Add(double aValue);
-  /// In the text exposition format.
+  /// Appends the histogram in the text exposition format.
   void Write(std::string& aText, const std::string& aName) const;
 
 private:
--- a/Libraries/LibStore/TableClient.cpp
+++ b/Libraries/LibStore/TableClient.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr const char* kClaimTable = "claims";
-/// An answer later than this counts as lost.
+/// Timeout of a call to the table service; its outcome is then unknown.
 constexpr duration kStoreTimeout = std::chrono::seconds(2);
-constexpr std::size_t kLargestAnswer = std::size_t{ 16 } * 1024 * 1024;
+constexpr std::size_t kMaxStoreAnswerBytes = std::size_t{ 16 } * 1024 * 1024;
 
 std::string
-Encode(const std::string& aBytes)
+ToBase64(const std::string& aBytes)
 {
   gchar* const encoded = g_base64_encode(
     reinterpret_cast<const guchar*>(aBytes.data()), aBytes.size());
@@ -24,7 +24,7 @@
 }
 
 std::string
-Decode(const std::string& aText)
+FromBase64(const std::string& aText)
 {
   gsize size = 0;
   guchar* const decoded = g_base64_decode(aText.c_str(), &size);
@@ -112,7 +112,7 @@
   }
   http_request request{ "POST", mUrl + "/tables/transact" };
   request.mBody = json{ { "puts", puts } }.dump();
-  return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
+  return WithTimeout(mHttp.Send(std::move(request), kMaxStoreAnswerBytes),
                      kStoreTimeout)
     .then(
       [](http_response aResponse) { return ParseTransactionResult(aResponse); })
@@ -125,7 +125,7 @@
   using rows = std::optional<std::map<std::string, claim_row>>;
   http_request request{ "POST", mUrl + "/tables/read" };
   request.mBody = json{ { "table", kClaimTable }, { "keys", aKeys } }.dump();
-  return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
+  return WithTimeout(mHttp.Send(std::move(request), kMaxStoreAnswerBytes),
                      kStoreTimeout)
     .then([](http_response aResponse) -> rows {
       const json answer = json::parse(aResponse.mBody, nullptr, false);
@@ -144,7 +144,7 @@
   if (!mListEtag.empty()) {
     request.mHeaders.emplace("If-None-Match", mListEtag);
   }
-  return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
+  return WithTimeout(mHttp.Send(std::move(request), kMaxStoreAnswerBytes),
                      kStoreTimeout)
     .then([this](http_response aResponse) -> endpoints {
       constexpr unsigned kNotModified = 304;
@@ -172,7 +172,7 @@
            { "done", aRow.mDone },
            { "status", aRow.mStatus },
            { "content_type", aRow.mContentType },
-           { "body", Encode(aRow.mBody) } };
+           { "body", ToBase64(aRow.mBody) } };
 }
 
 std::optional<claim_row>
@@ -187,7 +187,7 @@
     aValue.at("done").get_to(row.mDone);
     aValue.at("status").get_to(row.mStatus);
     aValue.at("content_type").get_to(row.mContentType);
-    row.mBody = Decode(aValue.at("body").get<std::string>());
+    row.mBody = FromBase64(aValue.at("body").get<std::string>());
     return row;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/Tests/TestMain.cpp
+++ b/Tests/TestMain.cpp
@@ -1,6 +1,6 @@
-/// Runs the suites that are named on the command line, or all of them, but for
-/// the tests that KNOWN-RED.txt lists: those fail for a fault that is known and
-/// not mended yet. With `--all` they run too.
+/// Runs the test suites named on the command line, or all of them. Tests listed
+/// in KNOWN-RED.txt are skipped, because they fail for a known fault that is
+/// not fixed yet. With `--all` they run too.
 
 #include "LibObserve/LibObserve.h"
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// By the test's name, its line of KNOWN-RED.txt.
+/// The lines of KNOWN-RED.txt by test name, the first word of each line.
 std::map<std::string, std::string>
 KnownFailures()
 {
@@ -31,22 +31,22 @@
   return known;
 }
 
-/// How many tests were passed over.
+/// Runs the test and its children; returns how many were skipped.
 int
 Run(CppUnit::Test& aTest,
-    const std::map<std::string, std::string>& aPassedOver,
+    const std::map<std::string, std::string>& aSkipped,
     CppUnit::TestResult& aEvents)
 {
   const int children = aTest.getChildTestCount();
   int count = 0;
   for (int i = 0; i < children; ++i) {
-    count += Run(*aTest.getChildTestAt(i), aPassedOver, aEvents);
+    count += Run(*aTest.getChildTestAt(i), aSkipped, aEvents);
   }
   if (children > 0) {
     return count;
   }
-  const auto known = aPassedOver.find(aTest.getName());
-  if (known == aPassedOver.end()) {
+  const auto known = aSkipped.find(aTest.getName());
+  if (known == aSkipped.end()) {
     aTest.run(&aEvents);
     return 0;
   }
@@ -61,15 +61,15 @@
 {
   primrose::StartLog("test", primrose::log_level::Error);
   CppUnit::TestResult events;
-  CppUnit::TestResultCollector collected;
+  CppUnit::TestResultCollector collector;
   CppUnit::BriefTestProgressListener progress;
-  events.addListener(&collected);
+  events.addListener(&collector);
   events.addListener(&progress);
-  std::map<std::string, std::string> passedOver = KnownFailures();
+  std::map<std::string, std::string> skipped = KnownFailures();
   CppUnit::TestSuite chosen("chosen");
   for (int i = 1; i < argc; ++i) {
     if (std::string_view(argv[i]) == "--all") {
-      passedOver.clear();
+      skipped.clear();
       continue;
     }
     chosen.addTest(
@@ -78,10 +78,10 @@
   if (chosen.getChildTestCount() == 0) {
     chosen.addTest(CppUnit::TestFactoryRegistry::getRegistry().makeTest());
   }
-  const int count = Run(chosen, passedOver, events);
-  CppUnit::CompilerOutputter(&collected, std::cerr).write();
-  // A suite without a test is a mistake in its name, not a success.
-  const bool good =
-    collected.wasSuccessful() && collected.runTests() + count > 0;
-  return good ? 0 : 1;
+  const int count = Run(chosen, skipped, events);
+  CppUnit::CompilerOutputter(&collector, std::cerr).write();
+  // No test at all means that a suite's name is wrong, which is a failure.
+  const bool passed =
+    collector.wasSuccessful() && collector.runTests() + count > 0;
+  return passed ? 0 : 1;
 }
