--- a/Libraries/LibGateway/Attempt.cpp
+++ b/Libraries/LibGateway/Attempt.cpp
@@ -164,7 +164,7 @@
   // answer.
   if (mChannel->Open() && mReader.Head().mKeepAlive &&
       mChannel->Input().empty() && !AnsweredEarly() &&
-      !mReader.EndsWithConnection()) {
+      !mReader.IsCloseDelimited()) {
     mConnections.PutIdle(
       mEndpoint.mId,
       std::move(mChannel),
@@ -187,8 +187,7 @@
     return;
   }
   if (aEnd == channel_end::Finished && mHeadAccepted &&
-      mReader.EndsWithConnection() &&
-      mReader.Finish() == read_state::Complete) {
+      mReader.IsCloseDelimited() && mReader.Finish() == read_state::Complete) {
     Complete();
     return;
   }
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -36,7 +36,7 @@
   gateway_state& mBoard;
   loaded_callback mOnLoaded;
   std::vector<std::string> mHosts;
-  http_caller mCaller;
+  serial_http_client mCaller;
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/MemoryReservation.h
+++ b/Libraries/LibGateway/MemoryReservation.h
@@ -38,7 +38,7 @@
   struct engine_share
   {
     endpoint mEndpoint;
-    std::unique_ptr<http_caller> mCaller;
+    std::unique_ptr<serial_http_client> mCaller;
     bool mGranted = false;
   };
   void SendCommand(engine_share& aShare,
--- a/Libraries/LibGateway/PeerSnapshot.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -130,7 +130,7 @@
   // This may run inside the callback of the previous call, so its caller object
   // is deleted only later.
   mLoop.DeleteLater(std::move(mCaller));
-  mCaller = std::make_shared<http_caller>(
+  mCaller = std::make_shared<serial_http_client>(
     mLoop, ip_address{ aHost, mSettings.mPeers.mPort });
   mCaller->Call(
     { "GET", "/beliefs", "", "", {} },
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -58,7 +58,7 @@
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
   time_point mRetryAt{};
-  http_caller mCaller;
+  serial_http_client mCaller;
 };
 
 /// Key of the row of a quarantined request.
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -90,12 +90,12 @@
   // A recent call, or one whose answer is arriving, is not considered
   // lost.
   if (mCaller.Busy() &&
-      (mCaller.Received() > 0 || mCaller.Asking() < aTimeout)) {
+      (mCaller.Received() > 0 || mCaller.TimeInFlight() < aTimeout)) {
     Log(log_level::Info,
         "store_answer_awaited",
         { { "table", mTable },
           { "revision", mRevision.value_or(0) },
-          { "asked_ms", Milliseconds(mCaller.Asking()) },
+          { "asked_ms", Milliseconds(mCaller.TimeInFlight()) },
           { "received_bytes", mCaller.Received() } });
     return;
   }
@@ -103,7 +103,7 @@
       "store_asked_anew",
       { { "table", mTable },
         { "revision", mRevision.value_or(0) },
-        { "asked_ms", Milliseconds(mCaller.Asking()) },
+        { "asked_ms", Milliseconds(mCaller.TimeInFlight()) },
         { "received_bytes", mCaller.Received() } });
   if (mCaller.Busy()) {
     mBoard.mMetrics.Count(
@@ -113,7 +113,7 @@
     // here and no snapshot would be fetched from a peer.
     RecordFailure(table_read_result{});
   }
-  mCaller.Abandon();
+  mCaller.CancelCalls();
   mLoop.Cancel(mTimer);
   Resume();
 }
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -74,7 +74,7 @@
   duration mChangeBatchDelay;
   bool mChangeBatchPending = false; ///< The next poll is delayed.
   listener mListener;
-  http_caller mCaller;
+  serial_http_client mCaller;
   table_read_result mAccumulated;
   std::optional<std::uint64_t> mRevision;
   /// If set, the next call is a full read. Polling instead would transfer each
