--- a/Libraries/LibGateway/EntryRoll.h
+++ b/Libraries/LibGateway/EntryRoll.h
@@ -34,7 +34,7 @@
   gateway_board& mBoard;
   learnt mLearnt;
   std::vector<std::string> mHosts;
-  http_caller mCaller;
+  serial_http_client mCaller;
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -66,7 +66,7 @@
   duration mGather;
   bool mGathering = false; ///< The next question waits for further changes.
   listener mListener;
-  http_caller mCaller;
+  serial_http_client mCaller;
   table_reading mGathered;
   std::optional<std::uint64_t> mRevision;
   /// Changes may have been missed. They are not asked for one after the other,
--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr unsigned kMostConnections = 4096;
-constexpr unsigned kIdleSeconds = 30;
+constexpr unsigned kMaxConnections = 4096;
+constexpr unsigned kIdleTimeoutSeconds = 30;
 constexpr gsize kReadSize = gsize{ 64 } * 1024;
 
 /// Cancels a GLib operation when the promise that waits for it is dropped.
@@ -150,20 +150,22 @@
 }
 
 kj::Promise<std::string>
-ReadAll(kj::Own<http_stream> aStream, std::string aSoFar, std::size_t aLargest)
+ReadAll(kj::Own<http_stream> aStream,
+        std::string aReceived,
+        std::size_t aMaxBytes)
 {
   kj::Promise<std::string> next = aStream->Read();
   return next.then(
-    [stream = kj::mv(aStream), text = std::move(aSoFar), aLargest](
+    [stream = kj::mv(aStream), text = std::move(aReceived), aMaxBytes](
       std::string aPiece) mutable -> kj::Promise<std::string> {
       if (aPiece.empty()) {
         return std::move(text);
       }
-      if (text.size() + aPiece.size() > aLargest) {
+      if (text.size() + aPiece.size() > aMaxBytes) {
         return KJ_EXCEPTION(FAILED, "the response body is over the limit");
       }
       text += aPiece;
-      return ReadAll(kj::mv(stream), std::move(text), aLargest);
+      return ReadAll(kj::mv(stream), std::move(text), aMaxBytes);
     });
 }
 
@@ -189,13 +191,13 @@
 http_client::http_client()
   : mSession(SOUP_SESSION(g_object_new(SOUP_TYPE_SESSION,
                                        "max-conns",
-                                       kMostConnections,
+                                       kMaxConnections,
                                        "max-conns-per-host",
-                                       kMostConnections,
+                                       kMaxConnections,
                                        "timeout",
                                        0U,
                                        "idle-timeout",
-                                       kIdleSeconds,
+                                       kIdleTimeoutSeconds,
                                        nullptr)))
 {
 }
@@ -244,16 +246,16 @@
 }
 
 kj::Promise<http_response>
-http_client::Send(http_request aRequest, std::size_t aLargestBody)
+http_client::Send(http_request aRequest, std::size_t aMaxBodyBytes)
 {
   return Open(std::move(aRequest))
-    .then([aLargestBody](kj::Own<http_stream> aStream) {
+    .then([aMaxBodyBytes](kj::Own<http_stream> aStream) {
       soup_stream& stream = kj::downcast<soup_stream>(*aStream);
       http_response response;
       response.mStatus = stream.Status();
       response.mContentType = stream.Header("Content-Type");
       response.mHeaders = ResponseHeaders(stream.Message());
-      return ReadAll(kj::mv(aStream), std::string(), aLargestBody)
+      return ReadAll(kj::mv(aStream), std::string(), aMaxBodyBytes)
         .then([response = std::move(response)](std::string aBody) mutable {
           response.mBody = std::move(aBody);
           return response;
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -51,15 +51,17 @@
 {
 public:
   /// The largest body that `Send` takes from a peer.
-  static constexpr std::size_t kLargestBody = std::size_t{ 64 } * 1024 * 1024;
+  static constexpr std::size_t kMaxResponseBytes =
+    std::size_t{ 64 } * 1024 * 1024;
 
   http_client();
   ~http_client();
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
 
-  kj::Promise<http_response> Send(http_request aRequest,
-                                  std::size_t aLargestBody = kLargestBody);
+  kj::Promise<http_response> Send(
+    http_request aRequest,
+    std::size_t aMaxBodyBytes = kMaxResponseBytes);
   kj::Promise<kj::Own<http_stream>> Open(http_request aRequest);
 
 private:
--- a/Libraries/LibHttp/Json.cpp
+++ b/Libraries/LibHttp/Json.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kDeepestNesting = 32;
+constexpr int kMaxNesting = 32;
 
 leaf::error_id
 WrongTypeError(const std::string& aName,
@@ -25,15 +25,15 @@
 ParseObject(std::string_view aText)
 {
   bool tooDeep = false;
-  const json::parser_callback_t bound =
+  const json::parser_callback_t limitDepth =
     [&tooDeep](int aDepth, json::parse_event_t, json&) {
-      tooDeep = tooDeep || aDepth > kDeepestNesting;
+      tooDeep = tooDeep || aDepth > kMaxNesting;
       return !tooDeep;
     };
-  json document = json::parse(aText, bound, false);
+  json document = json::parse(aText, limitDepth, false);
   if (tooDeep) {
     return Fail(error_kind::MalformedJson,
-                fmt::format("nested deeper than {}", kDeepestNesting));
+                fmt::format("nested deeper than {}", kMaxNesting));
   }
   if (document.is_discarded()) {
     return Fail(error_kind::MalformedJson, "the body is not JSON");
@@ -75,8 +75,8 @@
 OptionalInteger(const json& aObject,
                 const std::string& aName,
                 std::int64_t aDefault,
-                std::int64_t aLowest,
-                std::int64_t aHighest)
+                std::int64_t aMin,
+                std::int64_t aMax)
 {
   const auto member = aObject.find(aName);
   if (member == aObject.end()) {
@@ -89,12 +89,12 @@
     member->is_number_unsigned() &&
     member->get<std::uint64_t>() > static_cast<std::uint64_t>(INT64_MAX);
   const std::int64_t value = tooBig ? INT64_MAX : member->get<std::int64_t>();
-  if (value < aLowest || value > aHighest) {
+  if (value < aMin || value > aMax) {
     return Fail(error_kind::BadValue,
                 fmt::format("\"{}\": expected {} to {}, found {}",
                             aName,
-                            aLowest,
-                            aHighest,
+                            aMin,
+                            aMax,
                             member->dump()));
   }
   return value;
--- a/Libraries/LibHttp/Json.h
+++ b/Libraries/LibHttp/Json.h
@@ -30,8 +30,8 @@
 OptionalInteger(const json& aObject,
                 const std::string& aName,
                 std::int64_t aDefault,
-                std::int64_t aLowest,
-                std::int64_t aHighest);
+                std::int64_t aMin,
+                std::int64_t aMax);
 result<bool>
 OptionalFlag(const json& aObject, const std::string& aName, bool aDefault);
 
--- a/Libraries/LibHttp/ServerSentEvents.cpp
+++ b/Libraries/LibHttp/ServerSentEvents.cpp
@@ -11,9 +11,9 @@
   while (!aBytes.empty()) {
     const std::size_t end = aBytes.find('\n');
     mLine += aBytes.substr(0, end);
-    if (mLine.size() + mData.size() > mLimit) {
+    if (mLine.size() + mData.size() > mMaxEventBytes) {
       return Fail(error_kind::EndpointFailed,
-                  fmt::format("an event is over {} bytes", mLimit),
+                  fmt::format("an event is over {} bytes", mMaxEventBytes),
                   ran_state::Unknown);
     }
     if (end == std::string_view::npos) {
@@ -23,14 +23,15 @@
     if (mLine.ends_with('\r')) {
       mLine.pop_back();
     }
-    TakeLine(mLine, events);
+    ProcessLine(mLine, events);
     mLine.clear();
   }
   return events;
 }
 
 void
-sse_parser::TakeLine(std::string_view aLine, std::vector<std::string>& aEvents)
+sse_parser::ProcessLine(std::string_view aLine,
+                        std::vector<std::string>& aEvents)
 {
   if (aLine.empty()) {
     if (mHasData) {
--- a/Libraries/LibHttp/ServerSentEvents.h
+++ b/Libraries/LibHttp/ServerSentEvents.h
@@ -16,10 +16,11 @@
 class sse_parser
 {
 public:
-  static constexpr std::size_t kDefaultLimit = std::size_t{ 1024 } * 1024;
+  static constexpr std::size_t kDefaultMaxEventBytes =
+    std::size_t{ 1024 } * 1024;
 
-  explicit sse_parser(std::size_t aLimit = kDefaultLimit)
-    : mLimit(aLimit)
+  explicit sse_parser(std::size_t aMaxEventBytes = kDefaultMaxEventBytes)
+    : mMaxEventBytes(aMaxEventBytes)
   {
   }
 
@@ -27,9 +28,9 @@
   result<std::vector<std::string>> Feed(std::string_view aBytes);
 
 private:
-  void TakeLine(std::string_view aLine, std::vector<std::string>& aEvents);
+  void ProcessLine(std::string_view aLine, std::vector<std::string>& aEvents);
 
-  std::size_t mLimit;
+  std::size_t mMaxEventBytes;
   std::string mLine;
   std::string mData;
   bool mHasData = false;
--- a/Libraries/LibNet/Datagram.cpp
+++ b/Libraries/LibNet/Datagram.cpp
@@ -14,36 +14,36 @@
 namespace {
 
 /// The largest datagram that IPv4 carries.
-constexpr std::size_t kMostBytes = 65536;
+constexpr std::size_t kMaxDatagramBytes = 65536;
 /// Taken in one turn, so that a talkative peer does not hold up callers.
-constexpr int kDatagramsPerTurn = 64;
+constexpr int kMaxDatagramsPerTurn = 64;
 
 } // namespace
 
 datagram_socket::datagram_socket(event_loop& aLoop,
                                  int aSocket,
-                                 received aReceived)
+                                 receive_callback aOnReceive)
   : mLoop(aLoop)
   , mSocket(aSocket)
-  , mReceived(std::move(aReceived))
+  , mOnReceive(std::move(aOnReceive))
 {
   mLoop.Watch(mSocket, EPOLLIN, *this);
 }
 
 datagram_socket::~datagram_socket()
 {
-  mLoop.Forget(mSocket);
+  mLoop.Unwatch(mSocket);
   close(mSocket);
 }
 
 result<std::unique_ptr<datagram_socket>>
 datagram_socket::Open(event_loop& aLoop,
                       const ip_address& aAddress,
-                      received aReceived)
+                      receive_callback aOnReceive)
 {
   const int opened =
     socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const sockaddr_in address = SystemAddress(aAddress);
+  const sockaddr_in address = ToSockaddr(aAddress);
   if (opened < 0 || bind(opened,
                          reinterpret_cast<const sockaddr*>(&address),
                          sizeof(address)) != 0) {
@@ -55,7 +55,7 @@
                 "cannot receive on " + aAddress.Text() + ": " + why);
   }
   return std::unique_ptr<datagram_socket>(
-    new datagram_socket(aLoop, opened, std::move(aReceived)));
+    new datagram_socket(aLoop, opened, std::move(aOnReceive)));
 }
 
 std::uint16_t
@@ -70,7 +70,7 @@
 void
 datagram_socket::Send(std::string_view aBytes, const ip_address& aTo)
 {
-  const sockaddr_in address = SystemAddress(aTo);
+  const sockaddr_in address = ToSockaddr(aTo);
   (void)sendto(mSocket,
                aBytes.data(),
                aBytes.size(),
@@ -82,8 +82,8 @@
 void
 datagram_socket::OnEvents(std::uint32_t)
 {
-  static std::array<char, kMostBytes> scratch;
-  for (int i = 0; i < kDatagramsPerTurn; ++i) {
+  static std::array<char, kMaxDatagramBytes> scratch;
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof(from);
     const ssize_t got = recvfrom(mSocket,
@@ -97,8 +97,8 @@
     }
     std::array<char, INET_ADDRSTRLEN> text{};
     inet_ntop(AF_INET, &from.sin_addr, text.data(), text.size());
-    mReceived({ scratch.data(), static_cast<std::size_t>(got) },
-              { text.data(), ntohs(from.sin_port) });
+    mOnReceive({ scratch.data(), static_cast<std::size_t>(got) },
+               { text.data(), ntohs(from.sin_port) });
   }
 }
 
--- a/Libraries/LibNet/Datagram.h
+++ b/Libraries/LibNet/Datagram.h
@@ -11,11 +11,13 @@
 class datagram_socket final : public io_handler
 {
 public:
-  using received =
+  using receive_callback =
     std::function<void(std::string_view aBytes, const ip_address& aFrom)>;
 
-  static result<std::unique_ptr<datagram_socket>>
-  Open(event_loop& aLoop, const ip_address& aAddress, received aReceived);
+  static result<std::unique_ptr<datagram_socket>> Open(
+    event_loop& aLoop,
+    const ip_address& aAddress,
+    receive_callback aOnReceive);
   ~datagram_socket() override;
   datagram_socket(const datagram_socket&) = delete;
   datagram_socket& operator=(const datagram_socket&) = delete;
@@ -28,11 +30,11 @@
   void OnEvents(std::uint32_t aEvents) override;
 
 private:
-  datagram_socket(event_loop& aLoop, int aSocket, received aReceived);
+  datagram_socket(event_loop& aLoop, int aSocket, receive_callback aOnReceive);
 
   event_loop& mLoop;
   int mSocket;
-  received mReceived;
+  receive_callback mOnReceive;
 };
 
 } // namespace primrose
--- a/Libraries/LibNet/EventLoop.h
+++ b/Libraries/LibNet/EventLoop.h
@@ -36,8 +36,8 @@
   event_loop& operator=(const event_loop&) = delete;
 
   void Watch(int aDescriptor, std::uint32_t aEvents, io_handler& aHandler);
-  void Change(int aDescriptor, std::uint32_t aEvents);
-  void Forget(int aDescriptor);
+  void ChangeEvents(int aDescriptor, std::uint32_t aEvents);
+  void Unwatch(int aDescriptor);
 
   /// Calls `aAction` once, `aDelay` from now.
   timer_id After(duration aDelay, std::function<void()> aAction);
@@ -58,14 +58,14 @@
   wall_time Wall() const override;
 
 private:
-  struct watched
+  struct watch_entry
   {
     io_handler* mHandler = nullptr;
     std::uint32_t mGeneration = 0;
   };
-  struct ready
+  struct ready_event
   {
-    std::uint64_t mWatch = 0;
+    std::uint64_t mWatchKey = 0;
     std::uint32_t mEvents = 0;
   };
   struct loop_source;
@@ -74,7 +74,7 @@
   static gboolean Prepare(GSource* aSource, gint* aTimeout);
   static gboolean Check(GSource* aSource);
   static gboolean Dispatch(GSource* aSource, GSourceFunc, gpointer);
-  static gboolean Signalled(gpointer aAction);
+  static gboolean RunSignalAction(gpointer aAction);
   gint WaitForReadiness(GPollFD* aPolled, guint aCount, gint aTimeout);
   void RunReady();
   void RunTimers();
@@ -84,12 +84,12 @@
   int mEpoll = -1;
   std::uint32_t mGeneration = 0;
   timer_id mLastTimer = 0;
-  std::unordered_map<int, watched> mWatched;
+  std::unordered_map<int, watch_entry> mWatched;
   std::unordered_map<int, gushort> mPolledByGlib;
-  std::vector<ready> mReady;
+  std::vector<ready_event> mReady;
   std::map<std::pair<time_point, timer_id>, std::function<void()>> mTimers;
   std::unordered_map<timer_id, time_point> mTimerTimes;
-  std::vector<std::shared_ptr<void>> mDoomed;
+  std::vector<std::shared_ptr<void>> mPendingDeletes;
   std::vector<std::unique_ptr<std::function<void()>>> mSignals;
 };
 
--- a/Libraries/LibNet/FileWatch.cpp
+++ b/Libraries/LibNet/FileWatch.cpp
@@ -4,15 +4,15 @@
 
 file_watch::file_watch(event_loop& aLoop,
                        std::string aPath,
-                       duration aEvery,
-                       changed aChanged)
+                       duration aInterval,
+                       change_callback aOnChange)
   : mLoop(aLoop)
   , mPath(std::move(aPath))
-  , mEvery(aEvery)
-  , mChanged(std::move(aChanged))
-  , mText(Text())
+  , mInterval(aInterval)
+  , mOnChange(std::move(aOnChange))
+  , mLastContent(ReadContent())
 {
-  mTimer = mLoop.After(mEvery, [this]() { Look(); });
+  mTimer = mLoop.After(mInterval, [this]() { CheckFile(); });
 }
 
 file_watch::~file_watch()
@@ -21,22 +21,22 @@
 }
 
 std::string
-file_watch::Text() const
+file_watch::ReadContent() const
 {
   // A file that cannot be read just now is about to be replaced.
   const outcome<std::string> text =
     Capture<std::string>([this]() { return ReadFile(mPath); });
-  return text ? *text.mValue : mText;
+  return text ? *text.mValue : mLastContent;
 }
 
 void
-file_watch::Look()
+file_watch::CheckFile()
 {
-  mTimer = mLoop.After(mEvery, [this]() { Look(); });
-  const std::string text = Text();
-  if (text != mText) {
-    mText = text;
-    mChanged();
+  mTimer = mLoop.After(mInterval, [this]() { CheckFile(); });
+  const std::string text = ReadContent();
+  if (text != mLastContent) {
+    mLastContent = text;
+    mOnChange();
   }
 }
 
--- a/Libraries/LibNet/FileWatch.h
+++ b/Libraries/LibNet/FileWatch.h
@@ -13,26 +13,26 @@
 class file_watch
 {
 public:
-  using changed = std::function<void()>;
+  using change_callback = std::function<void()>;
 
-  /// Looks every `aEvery`; from when the watch is made on.
+  /// Looks every `aInterval`; from when the watch is made on.
   file_watch(event_loop& aLoop,
              std::string aPath,
-             duration aEvery,
-             changed aChanged);
+             duration aInterval,
+             change_callback aOnChange);
   ~file_watch();
   file_watch(const file_watch&) = delete;
   file_watch& operator=(const file_watch&) = delete;
 
 private:
-  std::string Text() const;
-  void Look();
+  std::string ReadContent() const;
+  void CheckFile();
 
   event_loop& mLoop;
   std::string mPath;
-  duration mEvery;
-  changed mChanged;
-  std::string mText;
+  duration mInterval;
+  change_callback mOnChange;
+  std::string mLastContent;
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibNet/TcpChannel.cpp
+++ b/Libraries/LibNet/TcpChannel.cpp
@@ -17,7 +17,7 @@
 
 /// Read in one call; larger than a usual burst of events of one stream.
 constexpr std::size_t kReadBytes = std::size_t{ 32 } * 1024;
-/// New connections that may wait while a burst is taken in.
+/// New connections that may wait while a burst is accepted in.
 constexpr int kBacklog = 1024;
 /// Connections accepted in one turn, so that a herd of new callers does not
 /// hold up the events of the streams that are already open.
@@ -38,9 +38,9 @@
   , mSocket(aSocket)
   , mConnected(true)
 {
-  Prepare(aLimits);
-  mArmed = EPOLLIN | EPOLLRDHUP;
-  mLoop.Watch(mSocket, mArmed, *this);
+  SetSocketOptions(aLimits);
+  mWatchedEvents = EPOLLIN | EPOLLRDHUP;
+  mLoop.Watch(mSocket, mWatchedEvents, *this);
 }
 
 tcp_channel::tcp_channel(event_loop& aLoop,
@@ -52,14 +52,14 @@
   if (mSocket < 0) {
     return;
   }
-  Prepare(aLimits);
-  const sockaddr_in address = SystemAddress(aPeer);
+  SetSocketOptions(aLimits);
+  const sockaddr_in address = ToSockaddr(aPeer);
   (void)connect(
     mSocket, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
   // Success, "in progress" and failure alike are told by readiness, so that
   // the owner never hears of the end inside the constructor.
-  mArmed = EPOLLOUT | EPOLLIN | EPOLLRDHUP;
-  mLoop.Watch(mSocket, mArmed, *this);
+  mWatchedEvents = EPOLLOUT | EPOLLIN | EPOLLRDHUP;
+  mLoop.Watch(mSocket, mWatchedEvents, *this);
 }
 
 tcp_channel::~tcp_channel()
@@ -68,20 +68,20 @@
 }
 
 void
-tcp_channel::Prepare(const channel_limits& aLimits)
+tcp_channel::SetSocketOptions(const channel_limits& aLimits)
 {
   SetOption(mSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  if (aLimits.mUnacknowledged > duration::zero()) {
+  if (aLimits.mAckTimeout > duration::zero()) {
     SetOption(mSocket,
               IPPROTO_TCP,
               TCP_USER_TIMEOUT,
-              static_cast<int>(Milliseconds(aLimits.mUnacknowledged)));
+              static_cast<int>(Milliseconds(aLimits.mAckTimeout)));
   }
-  if (aLimits.mProbeAfter > duration::zero()) {
+  if (aLimits.mKeepaliveIdle > duration::zero()) {
     // A connection through a partition or to a machine without power stays
     // silent for ever; only probes of our own show it.
     const int seconds =
-      std::max(1, static_cast<int>(Seconds(aLimits.mProbeAfter)));
+      std::max(1, static_cast<int>(Seconds(aLimits.mKeepaliveIdle)));
     SetOption(mSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
     SetOption(mSocket, IPPROTO_TCP, TCP_KEEPIDLE, seconds);
     SetOption(mSocket, IPPROTO_TCP, TCP_KEEPINTVL, 1);
@@ -90,7 +90,7 @@
 }
 
 void
-tcp_channel::Arm()
+tcp_channel::UpdateWatchedEvents()
 {
   std::uint32_t events = EPOLLRDHUP;
   if (!mPaused) {
@@ -99,9 +99,9 @@
   if (mWantWrite || !mConnected) {
     events |= EPOLLOUT;
   }
-  if (events != mArmed && mSocket >= 0) {
-    mArmed = events;
-    mLoop.Change(mSocket, events);
+  if (events != mWatchedEvents && mSocket >= 0) {
+    mWatchedEvents = events;
+    mLoop.ChangeEvents(mSocket, events);
   }
 }
 
@@ -125,14 +125,14 @@
   // channel without re-entering the writer.
   mOutput.append(aBytes);
   mWantWrite = true;
-  Arm();
+  UpdateWatchedEvents();
 }
 
 void
 tcp_channel::PauseReading(bool aPaused)
 {
   mPaused = aPaused;
-  Arm();
+  UpdateWatchedEvents();
 }
 
 void
@@ -141,7 +141,7 @@
   if (mSocket < 0) {
     return;
   }
-  mLoop.Forget(mSocket);
+  mLoop.Unwatch(mSocket);
   close(mSocket);
   mSocket = -1;
   mOwner = nullptr;
@@ -169,7 +169,7 @@
 }
 
 void
-tcp_channel::End(channel_end aEnd)
+tcp_channel::NotifyEnd(channel_end aEnd)
 {
   channel_owner* const owner = mOwner;
   if (owner == nullptr) {
@@ -177,7 +177,7 @@
     return;
   }
   mOwner = nullptr;
-  mLoop.Forget(mSocket);
+  mLoop.Unwatch(mSocket);
   close(mSocket);
   mSocket = -1;
   owner->OnEnd(*this, aEnd);
@@ -191,7 +191,7 @@
     socklen_t size = sizeof(error);
     getsockopt(mSocket, SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0) {
-      End(channel_end::Reset);
+      NotifyEnd(channel_end::Reset);
       return;
     }
     mConnected = true;
@@ -200,7 +200,7 @@
       mOwner->OnConnected(*this);
     }
     if (mSocket >= 0) {
-      Arm();
+      UpdateWatchedEvents();
     }
     return;
   }
@@ -223,12 +223,12 @@
   const ssize_t got = recv(mSocket, scratch.data(), scratch.size(), 0);
   if (got < 0) {
     if (errno != EAGAIN && errno != EINTR) {
-      End(channel_end::Reset);
+      NotifyEnd(channel_end::Reset);
     }
     return;
   }
   if (got == 0) {
-    End(channel_end::Finished);
+    NotifyEnd(channel_end::Finished);
     return;
   }
   mInput.append(scratch.data(), static_cast<std::size_t>(got));
@@ -242,47 +242,49 @@
 {
   while (Pending() > 0) {
     const ssize_t sent =
-      send(mSocket, mOutput.data() + mSent, Pending(), MSG_NOSIGNAL);
+      send(mSocket, mOutput.data() + mSentBytes, Pending(), MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EAGAIN || errno == EINTR) {
         return;
       }
-      End(channel_end::Reset);
+      NotifyEnd(channel_end::Reset);
       return;
     }
-    mSent += static_cast<std::size_t>(sent);
+    mSentBytes += static_cast<std::size_t>(sent);
   }
   mOutput.clear();
-  mSent = 0;
+  mSentBytes = 0;
   mWantWrite = false;
   if (mCloseWhenDrained) {
     Close();
     return;
   }
-  Arm();
+  UpdateWatchedEvents();
   if (mOwner != nullptr) {
     mOwner->OnDrained(*this);
   }
 }
 
-tcp_listener::tcp_listener(event_loop& aLoop, int aSocket, accepted aAccepted)
+tcp_listener::tcp_listener(event_loop& aLoop,
+                           int aSocket,
+                           accept_callback aOnAccept)
   : mLoop(aLoop)
   , mSocket(aSocket)
-  , mAccepted(std::move(aAccepted))
+  , mOnAccept(std::move(aOnAccept))
 {
   mLoop.Watch(mSocket, EPOLLIN, *this);
 }
 
 tcp_listener::~tcp_listener()
 {
-  mLoop.Forget(mSocket);
+  mLoop.Unwatch(mSocket);
   close(mSocket);
 }
 
 result<std::unique_ptr<tcp_listener>>
 tcp_listener::Open(event_loop& aLoop,
                    const ip_address& aAddress,
-                   accepted aAccepted)
+                   accept_callback aOnAccept)
 {
   const int listening =
     socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -291,7 +293,7 @@
                 std::string("no socket: ") + std::strerror(errno));
   }
   SetOption(listening, SOL_SOCKET, SO_REUSEADDR, 1);
-  const sockaddr_in address = SystemAddress(aAddress);
+  const sockaddr_in address = ToSockaddr(aAddress);
   if (bind(listening,
            reinterpret_cast<const sockaddr*>(&address),
            sizeof(address)) != 0 ||
@@ -302,7 +304,7 @@
                 "cannot listen on " + aAddress.Text() + ": " + why);
   }
   return std::unique_ptr<tcp_listener>(
-    new tcp_listener(aLoop, listening, std::move(aAccepted)));
+    new tcp_listener(aLoop, listening, std::move(aOnAccept)));
 }
 
 std::uint16_t
@@ -318,12 +320,12 @@
 tcp_listener::OnEvents(std::uint32_t)
 {
   for (int i = 0; i < kAcceptsPerTurn; ++i) {
-    const int taken =
+    const int accepted =
       accept4(mSocket, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (taken < 0) {
+    if (accepted < 0) {
       return;
     }
-    mAccepted(taken);
+    mOnAccept(accepted);
   }
 }
 
--- a/Libraries/LibNet/TcpChannel.h
+++ b/Libraries/LibNet/TcpChannel.h
@@ -34,8 +34,8 @@
 /// idle connection without an answer to a probe, before it counts as broken.
 struct channel_limits
 {
-  duration mUnacknowledged{};
-  duration mProbeAfter{};
+  duration mAckTimeout{};
+  duration mKeepaliveIdle{};
 
   bool operator==(const channel_limits&) const = default;
 };
@@ -58,8 +58,8 @@
   bool Connected() const { return mConnected; }
   std::string& Input() { return mInput; }
   void Write(std::string_view aBytes);
-  /// Bytes written that the system has not taken yet.
-  std::size_t Pending() const { return mOutput.size() - mSent; }
+  /// Bytes written that the system has not accepted yet.
+  std::size_t Pending() const { return mOutput.size() - mSentBytes; }
   /// Stops and goes on with reading, so that a slow reader slows its sender.
   void PauseReading(bool aPaused);
   /// Closes at once; the owner hears nothing more. Unread input makes the
@@ -72,11 +72,11 @@
   void OnEvents(std::uint32_t aEvents) override;
 
 private:
-  void Prepare(const channel_limits& aLimits);
-  void Arm();
+  void SetSocketOptions(const channel_limits& aLimits);
+  void UpdateWatchedEvents();
   void Read();
   void Flush();
-  void End(channel_end aEnd);
+  void NotifyEnd(channel_end aEnd);
 
   event_loop& mLoop;
   channel_owner* mOwner = nullptr;
@@ -85,21 +85,21 @@
   bool mPaused = false;
   bool mWantWrite = false;
   bool mCloseWhenDrained = false;
-  std::uint32_t mArmed = 0;
+  std::uint32_t mWatchedEvents = 0;
   std::string mInput;
   std::string mOutput;
-  std::size_t mSent = 0;
+  std::size_t mSentBytes = 0;
 };
 
 /// Accepts connections.
 class tcp_listener final : public io_handler
 {
 public:
-  using accepted = std::function<void(int aSocket)>;
+  using accept_callback = std::function<void(int aSocket)>;
 
   static result<std::unique_ptr<tcp_listener>> Open(event_loop& aLoop,
                                                     const ip_address& aAddress,
-                                                    accepted aAccepted);
+                                                    accept_callback aOnAccept);
   ~tcp_listener() override;
   tcp_listener(const tcp_listener&) = delete;
   tcp_listener& operator=(const tcp_listener&) = delete;
@@ -108,11 +108,11 @@
   void OnEvents(std::uint32_t aEvents) override;
 
 private:
-  tcp_listener(event_loop& aLoop, int aSocket, accepted aAccepted);
+  tcp_listener(event_loop& aLoop, int aSocket, accept_callback aOnAccept);
 
   event_loop& mLoop;
   int mSocket;
-  accepted mAccepted;
+  accept_callback mOnAccept;
 };
 
 } // namespace primrose
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration kConnectLimit = std::chrono::milliseconds(1000);
+constexpr duration kAgentConnectTimeout = std::chrono::milliseconds(1000);
 
 /// The largest message taken from a peer: a prompt of a million tokens is
 /// about 4 MB; more than this is refused before memory is spent on it.
@@ -74,12 +74,12 @@
   mConnections.add(ended.attach(kj::mv(connection)));
 }
 
-struct agent_link::open_connection
+struct agent_connection::open_connection
 {
   kj::Own<kj::AsyncIoStream> mStream;
   capnp::TwoPartyVatNetwork mNetwork;
   capnp::RpcSystem<capnp::rpc::twoparty::VatId> mRpc;
-  kj::Maybe<kj::Promise<void>> mWatch;
+  kj::Maybe<kj::Promise<void>> mDisconnectWatch;
 
   explicit open_connection(kj::Own<kj::AsyncIoStream> aStream)
     : mStream(kj::mv(aStream))
@@ -98,34 +98,34 @@
   }
 };
 
-agent_link::agent_link(ip_address aAddress,
-                       std::string aKey,
-                       std::string aCaller)
+agent_connection::agent_connection(ip_address aAddress,
+                                   std::string aKey,
+                                   std::string aCaller)
   : mAddress(std::move(aAddress))
   , mKey(std::move(aKey))
   , mCaller(std::move(aCaller))
 {
 }
 
-agent_link::~agent_link() = default;
+agent_connection::~agent_connection() = default;
 
 kj::Promise<wire::Agent::Client>
-agent_link::Open()
+agent_connection::Open()
 {
-  return WithTimeout(Connect(mAddress), kConnectLimit)
+  return WithTimeout(Connect(mAddress), kAgentConnectTimeout)
     .then([this](kj::Own<kj::AsyncIoStream> aStream) {
       mConnection = std::make_shared<open_connection>(kj::mv(aStream));
       auto request = mConnection->Gate().openRequest();
       request.setKey(mKey);
       request.setCaller(mCaller);
       std::weak_ptr<open_connection> const watched = mConnection;
-      mConnection->mWatch = mConnection->mNetwork.onDisconnect()
-                              .then([this, watched]() {
-                                if (watched.lock() == mConnection) {
-                                  mStale = true;
-                                }
-                              })
-                              .eagerlyEvaluate(nullptr);
+      mConnection->mDisconnectWatch = mConnection->mNetwork.onDisconnect()
+                                        .then([this, watched]() {
+                                          if (watched.lock() == mConnection) {
+                                            mNeedsReconnect = true;
+                                          }
+                                        })
+                                        .eagerlyEvaluate(nullptr);
       return request.send().then(
         [](capnp::Response<wire::Gate::OpenResults> aAnswer) {
           return aAnswer.getAgent();
@@ -134,20 +134,20 @@
 }
 
 kj::Promise<wire::Agent::Client>
-agent_link::Get()
+agent_connection::Get()
 {
   KJ_IF_MAYBE (opening, mOpening) {
-    if (!mStale) {
+    if (!mNeedsReconnect) {
       return opening->addBranch();
     }
   }
-  mStale = false;
+  mNeedsReconnect = false;
   kj::ForkedPromise<wire::Agent::Client> opening =
     Open()
       .catch_(
         [this](kj::Exception&& aException) -> kj::Promise<wire::Agent::Client> {
           // Only marked: the fork must not be destroyed by its own callback.
-          mStale = true;
+          mNeedsReconnect = true;
           return kj::mv(aException);
         })
       .fork();
--- a/Libraries/LibWire/Convert.cpp
+++ b/Libraries/LibWire/Convert.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::uint64_t kMostTokens = 1000000000;
-constexpr unsigned kMostMarks = 32;
+constexpr std::uint64_t kMaxWireTokens = 1000000000;
+constexpr unsigned kMaxWirePrefixHashes = 32;
 constexpr unsigned kLowestPriority = 3;
 constexpr std::uint64_t kDayInMilliseconds = 86400000;
 constexpr double kMillisecondsPerSecond = 1000;
@@ -36,11 +36,12 @@
   work_shape shape;
   shape.mModel = TextFrom(aQuery.getModel());
   shape.mOrganisation = TextFrom(aQuery.getOrganisation());
-  shape.mPromptTokens = std::min(aQuery.getPromptTokens(), kMostTokens);
-  shape.mMaxTokens = std::min(aQuery.getMaxTokens(), kMostTokens);
+  shape.mPromptTokens = std::min(aQuery.getPromptTokens(), kMaxWireTokens);
+  shape.mMaxTokens = std::min(aQuery.getMaxTokens(), kMaxWireTokens);
   shape.mPriority = std::min<unsigned>(aQuery.getPriority(), kLowestPriority);
   shape.mLong = aQuery.getIsLong();
-  const unsigned count = std::min(aQuery.getMarks().size(), kMostMarks);
+  const unsigned count =
+    std::min(aQuery.getMarks().size(), kMaxWirePrefixHashes);
   for (unsigned i = 0; i < count; ++i) {
     shape.mMarks.push_back(aQuery.getMarks()[i]);
   }
--- a/Libraries/LibWire/Timer.cpp
+++ b/Libraries/LibWire/Timer.cpp
@@ -43,9 +43,9 @@
   // that nothing is due yet and set it again at once.
   const std::int64_t milliseconds =
     Milliseconds(aDelay + std::chrono::milliseconds(1) - duration(1));
-  constexpr std::int64_t kLongest = 86400000;
+  constexpr std::int64_t kMaxDelayMs = 86400000;
   state->mSource = g_timeout_add(
-    static_cast<guint>(std::clamp<std::int64_t>(milliseconds, 0, kLongest)),
+    static_cast<guint>(std::clamp<std::int64_t>(milliseconds, 0, kMaxDelayMs)),
     &timer::Fire,
     state.get());
   return pair.promise.attach(kj::mv(state));
--- a/Libraries/LibWire/Timer.h
+++ b/Libraries/LibWire/Timer.h
@@ -14,12 +14,12 @@
 Delay(duration aDelay);
 
 /// The promise's own value, or a thrown KJ exception of type OVERLOADED when
-/// `aLimit` has passed first; the work is dropped then.
+/// `aTimeout` has passed first; the work is dropped then.
 template<typename T>
 kj::Promise<T>
-WithTimeout(kj::Promise<T> aWork, duration aLimit)
+WithTimeout(kj::Promise<T> aPromise, duration aTimeout)
 {
-  return aWork.exclusiveJoin(Delay(aLimit).then(
+  return aPromise.exclusiveJoin(Delay(aTimeout).then(
     []() -> kj::Promise<T> { return KJ_EXCEPTION(OVERLOADED, "timed out"); }));
 }
 
