--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kIdleTimeoutSeconds = 30;
 constexpr gsize kReadSize = gsize{ 64 } * 1024;
 
-/// Cancels a GLib operation when the promise that waits for it is dropped.
+/// Cancels a GLib operation when the promise of its result is dropped.
 struct cancel_on_drop
 {
   GCancellable* mCancellable = g_cancellable_new();
@@ -28,8 +28,8 @@
   }
 };
 
-/// A GLib call in flight. It outlives a dropped promise, since GLib calls back
-/// in any case; the result is then thrown away.
+/// A GLib call in flight. It outlives a dropped promise, since GLib calls the
+/// callback in any case; the result is then discarded.
 template<typename T>
 struct pending_call
 {
@@ -44,16 +44,19 @@
   }
 };
 
+/// Starts an asynchronous GLib call and returns a promise of its result.
 template<typename T, typename Start>
 kj::Promise<T>
 Await(std::function<T(GObject*, GAsyncResult*)> aFinish, Start&& aStart)
 {
-  kj::PromiseFulfillerPair<T> pair = kj::newPromiseAndFulfiller<T>();
-  kj::Own<cancel_on_drop> guard = kj::heap<cancel_on_drop>();
+  kj::PromiseFulfillerPair<T> promiseAndFulfiller =
+    kj::newPromiseAndFulfiller<T>();
+  kj::Own<cancel_on_drop> canceller = kj::heap<cancel_on_drop>();
   pending_call<T>* const call =
-    new pending_call<T>{ kj::mv(pair.fulfiller), std::move(aFinish) };
-  aStart(guard->mCancellable, &pending_call<T>::Done, call);
-  return pair.promise.attach(kj::mv(guard));
+    new pending_call<T>{ kj::mv(promiseAndFulfiller.fulfiller),
+                         std::move(aFinish) };
+  aStart(canceller->mCancellable, &pending_call<T>::Done, call);
+  return promiseAndFulfiller.promise.attach(kj::mv(canceller));
 }
 
 [[noreturn]] void
@@ -212,17 +215,17 @@
 http_client::Open(http_request aRequest)
 {
   message_pointer message = MakeMessage(aRequest);
-  // NOTE: libsoup sends a message again when a kept-alive connection turns out
-  // to be closed. For a guarded call that could run it twice, so every request
-  // that is not a plain read gets a connection of its own.
+  // NOTE: libsoup retries a message if a keep-alive connection turns out to be
+  // closed. That could execute a guarded call twice, so every request except
+  // GET uses a new connection.
   if (aRequest.mMethod != "GET") {
     soup_message_add_flags(message.get(), SOUP_MESSAGE_NEW_CONNECTION);
-    // A connection of its own is of no use afterwards. Left open, each request
-    // would leave one behind on both sides until it idles out.
+    // The new connection isn't reused afterwards. Without this header, each
+    // request would leave an idle connection on both sides until its timeout.
     soup_message_headers_replace(
       soup_message_get_request_headers(message.get()), "Connection", "close");
   }
-  SoupMessage* const raw = message.get();
+  SoupMessage* const soupMessage = message.get();
   kj::Promise<GInputStream*> opened = Await<GInputStream*>(
     [](GObject* aSource, GAsyncResult* aResult) {
       GError* error = nullptr;
@@ -233,10 +236,10 @@
       }
       return stream;
     },
-    [this, raw](
+    [this, soupMessage](
       GCancellable* aCancellable, GAsyncReadyCallback aDone, gpointer aData) {
       soup_session_send_async(
-        mSession, raw, G_PRIORITY_DEFAULT, aCancellable, aDone, aData);
+        mSession, soupMessage, G_PRIORITY_DEFAULT, aCancellable, aDone, aData);
     });
   return opened.then(
     [message = std::move(message)](GInputStream* aStream) mutable {
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// An HTTP client as promises. Dropping a promise or a stream cancels the
-/// request and closes its connection.
+/// An HTTP client that returns promises. Dropping a promise or a stream cancels
+/// the request and closes its connection.
 
 #include "LibCore/LibCore.h"
 
@@ -36,21 +36,21 @@
   bool operator==(const http_response&) const = default;
 };
 
-/// A response whose body is read piece by piece.
+/// A response whose body is read incrementally.
 class http_stream
 {
 public:
   virtual ~http_stream() = default;
   virtual unsigned Status() const = 0;
   virtual std::string Header(const char* aName) const = 0;
-  /// The next bytes; empty at the end of the body.
+  /// Resolves to the next bytes, or to an empty string at the end of the body.
   virtual kj::Promise<std::string> Read() = 0;
 };
 
 class http_client
 {
 public:
-  /// The largest body that `Send` takes from a peer.
+  /// The largest response body that `Send` accepts by default.
   static constexpr std::size_t kMaxResponseBytes =
     std::size_t{ 64 } * 1024 * 1024;
 
@@ -59,9 +59,12 @@
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
 
+  /// Sends a request and reads the whole response. Fails if the body is larger
+  /// than `aMaxBodyBytes`.
   kj::Promise<http_response> Send(
     http_request aRequest,
     std::size_t aMaxBodyBytes = kMaxResponseBytes);
+  /// Sends a request and resolves once the head of the response was received.
   kj::Promise<kj::Own<http_stream>> Open(http_request aRequest);
 
 private:
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -11,13 +11,15 @@
 
 namespace {
 
-/// A paused message is not watched by libsoup, so a caller that hangs up while
-/// it waits would go unnoticed and its work would run on for nobody. This is
-/// how often each waiting exchange looks at its own socket.
+/// How often each exchange checks its own socket. libsoup doesn't watch the
+/// socket of a paused message, so it would not detect a caller that closes the
+/// connection while waiting, and its work would continue without a recipient.
 constexpr unsigned kHangupCheckMilliseconds = 100;
 
 constexpr const char* kJsonType = "application/json";
 
+/// True if the peer has closed the connection or it has failed. Peeks, so that
+/// no input is consumed.
 bool
 HasPeerClosed(GSocket* aSocket)
 {
@@ -42,6 +44,7 @@
     aMessage, aContentType, SOUP_MEMORY_COPY, aBody.data(), aBody.size());
 }
 
+/// Answers a request whose body is over the limit and closes its connection.
 void
 RejectOversizedBody(SoupServerMessage* aMessage, std::size_t aMaxBytes)
 {
@@ -65,9 +68,11 @@
 {
   soup_server_message_pause(mMessage);
   mFinishedSignal = g_signal_connect(
-    mMessage, "finished", G_CALLBACK(&http_exchange::Finished), this);
-  mWroteSignal = g_signal_connect(
-    mMessage, "wrote-body-data", G_CALLBACK(&http_exchange::WroteChunk), this);
+    mMessage, "finished", G_CALLBACK(&http_exchange::OnFinished), this);
+  mWroteSignal = g_signal_connect(mMessage,
+                                  "wrote-body-data",
+                                  G_CALLBACK(&http_exchange::OnWroteChunk),
+                                  this);
   mHangupTimer = g_timeout_add(
     kHangupCheckMilliseconds, &http_exchange::CheckForHangup, this);
 }
@@ -220,19 +225,19 @@
 }
 
 void
-http_exchange::Finished(SoupServerMessage*, void* aSelf)
+http_exchange::OnFinished(SoupServerMessage*, void* aSelf)
 {
   http_exchange* const self = static_cast<http_exchange*>(aSelf);
-  const bool cutOff = !self->mAnswered || self->mStreaming;
+  const bool isIncomplete = !self->mAnswered || self->mStreaming;
   self->mFinished = true;
   self->StopHangupChecks();
-  if (cutOff) {
+  if (isIncomplete) {
     self->NotifyHangup();
   }
 }
 
 void
-http_exchange::WroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf)
+http_exchange::OnWroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf)
 {
   http_exchange* const self = static_cast<http_exchange*>(aSelf);
   self->mUnsentBytes -= std::min<std::size_t>(self->mUnsentBytes, aSize);
@@ -249,7 +254,8 @@
   self->mHangupTimer = 0;
   if (!self->mAnswered || self->mStreaming) {
     self->mFinished = true;
-    // Let libsoup finish the message: it writes, fails and closes.
+    // Resume the message so that libsoup ends it: its write fails, and it
+    // closes the connection.
     soup_server_message_unpause(self->mMessage);
     self->NotifyHangup();
   }
@@ -276,9 +282,11 @@
   }
 }
 
-/// The functions that libsoup calls; they know the server's inside.
+/// The callbacks registered with libsoup. They access private members of
+/// `http_server`.
 struct server_callbacks
 {
+  /// Rejects a request that announces a body over the limit.
   static void OnHeaders(SoupServer*,
                         SoupServerMessage* aMessage,
                         const char*,
@@ -286,20 +294,21 @@
                         gpointer aSelf)
   {
     const http_server* const self = static_cast<http_server*>(aSelf);
-    const goffset announced = soup_message_headers_get_content_length(
+    const goffset contentLength = soup_message_headers_get_content_length(
       soup_server_message_get_request_headers(aMessage));
-    if (announced > 0 &&
-        static_cast<std::size_t>(announced) > self->mMaxBodyBytes) {
+    if (contentLength > 0 &&
+        static_cast<std::size_t>(contentLength) > self->mMaxBodyBytes) {
       RejectOversizedBody(aMessage, self->mMaxBodyBytes);
       return;
     }
-    g_signal_connect(aMessage, "got-chunk", G_CALLBACK(&GotChunk), aSelf);
+    g_signal_connect(aMessage, "got-chunk", G_CALLBACK(&OnGotChunk), aSelf);
   }
 
-  /// A body in chunks announces no length, so its size is counted as it comes.
-  static void GotChunk(SoupServerMessage* aMessage,
-                       GBytes* aChunk,
-                       gpointer aSelf)
+  /// Counts the size of a body as it arrives, since a chunked body doesn't
+  /// announce its length.
+  static void OnGotChunk(SoupServerMessage* aMessage,
+                         GBytes* aChunk,
+                         gpointer aSelf)
   {
     const http_server* const self = static_cast<http_server*>(aSelf);
     constexpr const char* kSizeKey = "primrose-body-size";
@@ -317,11 +326,12 @@
     RejectOversizedBody(aMessage, self->mMaxBodyBytes);
   }
 
-  static void Handle(SoupServer*,
-                     SoupServerMessage* aMessage,
-                     const char* aPath,
-                     GHashTable*,
-                     gpointer aSelf)
+  /// Passes a complete request to the handler, unless it was rejected already.
+  static void OnRequest(SoupServer*,
+                        SoupServerMessage* aMessage,
+                        const char* aPath,
+                        GHashTable*,
+                        gpointer aSelf)
   {
     const http_server* const self = static_cast<http_server*>(aSelf);
     if (soup_server_message_get_status(aMessage) != 0) {
@@ -346,8 +356,11 @@
                                 &server_callbacks::OnHeaders,
                                 server.get(),
                                 nullptr);
-  soup_server_add_handler(
-    server->mServer, nullptr, &server_callbacks::Handle, server.get(), nullptr);
+  soup_server_add_handler(server->mServer,
+                          nullptr,
+                          &server_callbacks::OnRequest,
+                          server.get(),
+                          nullptr);
   GSocketAddress* const address =
     g_inet_socket_address_new_from_string(aHost.c_str(), aPort);
   if (address == nullptr) {
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// An HTTP server whose handlers answer later: each request is an exchange
-/// that is answered whole or as a stream.
+/// An HTTP server with asynchronous handlers: each request becomes an exchange
+/// that is answered later, with a complete body or as a stream.
 
 #include "LibCore/LibCore.h"
 
@@ -12,8 +12,9 @@
 
 namespace primrose {
 
-/// One request and its answer. It is kept alive by whoever is working on it;
-/// an exchange that is dropped unanswered answers with an internal error.
+/// One request and its answer. The code that handles the request shares
+/// ownership of the exchange. If it is destroyed without an answer, the caller
+/// receives an internal error.
 class http_exchange
 {
 public:
@@ -24,7 +25,7 @@
 
   std::string Method() const;
   const std::string& Path() const { return mPath; }
-  /// The part after `?`, or empty.
+  /// The part of the URL after `?`, or empty.
   std::string Query() const;
   /// A header's value, or empty.
   std::string Header(const char* aName) const;
@@ -34,25 +35,30 @@
   std::string BearerKey() const;
 
   void SetHeader(const char* aName, const std::string& aValue);
+  /// Answers with a complete body. Ignored if the exchange was answered
+  /// already.
   void Answer(unsigned aStatus,
               const std::string& aContentType,
               std::string aBody);
   void AnswerFailure(const failure& aFailure);
 
+  /// Starts an answer whose body is sent in chunks by `Send` until `EndStream`.
   void StartStream(unsigned aStatus, const std::string& aContentType);
   void Send(std::string aBytes);
   void EndStream();
-  /// Bytes sent but not yet taken by the caller's connection.
+  /// Bytes passed to `Send` that are not yet written to the connection.
   std::size_t UnsentBytes() const { return mUnsentBytes; }
   bool IsStreaming() const { return mStreaming; }
 
-  /// Called once when the caller's connection goes before the answer ended.
+  /// Sets a handler that is called once if the caller closes the connection
+  /// before the answer has ended.
   void OnHangup(std::function<void()> aHandler);
+  /// True once the exchange has ended, with a complete answer or without one.
   bool IsFinished() const { return mFinished; }
 
 private:
-  static void Finished(SoupServerMessage*, void* aSelf);
-  static void WroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf);
+  static void OnFinished(SoupServerMessage*, void* aSelf);
+  static void OnWroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf);
   static int CheckForHangup(void* aSelf);
   void NotifyHangup();
   void StopHangupChecks();
@@ -74,8 +80,8 @@
 public:
   using handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
-  /// Listens on `aHost:aPort` (0: the system picks). A body over
-  /// `aMaxBodyBytes` is answered with `BodyTooLarge` before it is read.
+  /// Listens on `aHost:aPort`; for port 0 the kernel chooses one. A body over
+  /// `aMaxBodyBytes` is rejected with `BodyTooLarge` without being read whole.
   static result<std::unique_ptr<http_server>> Open(const std::string& aHost,
                                                    std::uint16_t aPort,
                                                    std::size_t aMaxBodyBytes,
--- a/Libraries/LibHttp/Json.h
+++ b/Libraries/LibHttp/Json.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Reading members of JSON that came from outside: every absent or wrong-typed
-/// member becomes a failure that names the member, what was expected and what
-/// was found.
+/// Functions that read members of untrusted JSON. A missing member or one of
+/// the wrong type results in a failure whose message names the member, what was
+/// expected and what was found.
 
 #include "LibCore/LibCore.h"
 
@@ -14,8 +14,8 @@
 
 using json = nlohmann::json;
 
-/// Parses a body; fails with `MalformedJson` or, where the document is no
-/// object, `WrongType`. Nesting is bounded.
+/// Parses a JSON object. Fails with `MalformedJson`, also if it is nested too
+/// deep, or with `WrongType` if the document is not an object.
 result<json>
 ParseObject(std::string_view aText);
 
@@ -25,7 +25,7 @@
 OptionalText(const json& aObject,
              const std::string& aName,
              std::string aDefault);
-/// A whole number within the bounds; `aDefault` where the member is absent.
+/// An integer from `aMin` to `aMax`, or `aDefault` if the member is missing.
 result<std::int64_t>
 OptionalInteger(const json& aObject,
                 const std::string& aName,
@@ -35,7 +35,8 @@
 result<bool>
 OptionalFlag(const json& aObject, const std::string& aName, bool aDefault);
 
-/// `{"error":{kind, message, ran, retry_after_s}}`.
+/// The body of an error answer: `{"error":{kind, message, ran,
+/// retry_after_s}}`.
 json
 ErrorBody(const failure& aFailure);
 
--- a/Libraries/LibHttp/LibHttp.h
+++ b/Libraries/LibHttp/LibHttp.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// LibHttp: HTTP through libsoup, with KJ promises in place of callbacks, and
-/// the parser of server-sent events.
+/// LibHttp: an HTTP client (with KJ promises) and server based on libsoup,
+/// reading of JSON, and a parser of server-sent events.
 
 #include "LibHttp/HttpClient.h"
 #include "LibHttp/HttpServer.h"
--- a/Libraries/LibHttp/ServerSentEvents.h
+++ b/Libraries/LibHttp/ServerSentEvents.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Server-sent events, as in the HTML standard's "event stream" format. Only
-/// the `data` field is used here; others are skipped.
+/// Server-sent events in the HTML standard's "event stream" format. Only the
+/// `data` field is supported; other fields are skipped.
 
 #include "LibCore/LibCore.h"
 
@@ -11,8 +11,8 @@
 
 namespace primrose {
 
-/// Cuts a byte stream into events. An event over the limit is an error: a
-/// stream from outside must not make this process hold unbounded memory.
+/// Splits a byte stream into events. An event over the limit is an error, so
+/// that an untrusted stream can't make this process use unbounded memory.
 class sse_parser
 {
 public:
@@ -24,7 +24,7 @@
   {
   }
 
-  /// Takes the next bytes; gives the data of each event that they complete.
+  /// Parses the next bytes. Returns the data of each event that they complete.
   result<std::vector<std::string>> Feed(std::string_view aBytes);
 
 private:
@@ -36,7 +36,7 @@
   bool mHasData = false;
 };
 
-/// One event as it is sent.
+/// Formats one event with the given data, one `data` field for each line.
 std::string
 FormatEvent(std::string_view aData);
 
--- a/Libraries/LibNet/Datagram.cpp
+++ b/Libraries/LibNet/Datagram.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// The largest datagram that IPv4 carries.
+/// The largest datagram that IPv4 can carry.
 constexpr std::size_t kMaxDatagramBytes = 65536;
-/// Taken in one turn, so that a talkative peer does not hold up callers.
+/// Datagrams read in one loop iteration. The bound keeps a peer that sends many
+/// datagrams from delaying callers.
 constexpr int kMaxDatagramsPerTurn = 64;
 
 } // namespace
@@ -41,21 +42,21 @@
                       const ip_address& aAddress,
                       receive_callback aOnReceive)
 {
-  const int opened =
+  const int descriptor =
     socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const sockaddr_in address = ToSockaddr(aAddress);
-  if (opened < 0 || bind(opened,
-                         reinterpret_cast<const sockaddr*>(&address),
-                         sizeof(address)) != 0) {
-    const std::string why = std::strerror(errno);
-    if (opened >= 0) {
-      close(opened);
+  if (descriptor < 0 || bind(descriptor,
+                             reinterpret_cast<const sockaddr*>(&address),
+                             sizeof(address)) != 0) {
+    const std::string reason = std::strerror(errno);
+    if (descriptor >= 0) {
+      close(descriptor);
     }
     return Fail(error_kind::SettingsInvalid,
-                "cannot receive on " + aAddress.Text() + ": " + why);
+                "cannot receive on " + aAddress.Text() + ": " + reason);
   }
   return std::unique_ptr<datagram_socket>(
-    new datagram_socket(aLoop, opened, std::move(aOnReceive)));
+    new datagram_socket(aLoop, descriptor, std::move(aOnReceive)));
 }
 
 std::uint16_t
@@ -82,22 +83,22 @@
 void
 datagram_socket::OnEvents(std::uint32_t)
 {
-  static std::array<char, kMaxDatagramBytes> scratch;
+  static std::array<char, kMaxDatagramBytes> buffer;
   for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof(from);
-    const ssize_t got = recvfrom(mSocket,
-                                 scratch.data(),
-                                 scratch.size(),
-                                 0,
-                                 reinterpret_cast<sockaddr*>(&from),
-                                 &size);
-    if (got < 0) {
+    const ssize_t received = recvfrom(mSocket,
+                                      buffer.data(),
+                                      buffer.size(),
+                                      0,
+                                      reinterpret_cast<sockaddr*>(&from),
+                                      &size);
+    if (received < 0) {
       return;
     }
     std::array<char, INET_ADDRSTRLEN> text{};
     inet_ntop(AF_INET, &from.sin_addr, text.data(), text.size());
-    mOnReceive({ scratch.data(), static_cast<std::size_t>(got) },
+    mOnReceive({ buffer.data(), static_cast<std::size_t>(received) },
                { text.data(), ntohs(from.sin_port) });
   }
 }
--- a/Libraries/LibNet/Datagram.h
+++ b/Libraries/LibNet/Datagram.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Datagrams between the system's own processes.
+/// UDP datagrams between the processes of this project.
 
 #include "LibNet/EventLoop.h"
 
@@ -8,6 +8,7 @@
 
 namespace primrose {
 
+/// A bound UDP socket that passes each received datagram to a callback.
 class datagram_socket final : public io_handler
 {
 public:
@@ -22,10 +23,10 @@
   datagram_socket(const datagram_socket&) = delete;
   datagram_socket& operator=(const datagram_socket&) = delete;
 
-  /// Sends, or drops where the system has no room; datagrams may be lost
-  /// anyway, so nobody may rely on one.
+  /// Sends a datagram, or drops it if the kernel's send buffer is full. The
+  /// network may lose datagrams too, so callers must tolerate a loss.
   void Send(std::string_view aBytes, const ip_address& aTo);
-  /// The port, also where the system chose it.
+  /// The bound port, also if the kernel chose it.
   std::uint16_t Port() const;
   void OnEvents(std::uint32_t aEvents) override;
 
--- a/Libraries/LibNet/EventCursor.cpp
+++ b/Libraries/LibNet/EventCursor.cpp
@@ -10,17 +10,17 @@
 constexpr std::string_view kEndOfEvent = "\n\n";
 constexpr std::string_view kId = "id:";
 
-/// The number in the event's `id` line.
+/// Parses the number in the event's `id` line, if there is one.
 std::optional<std::uint64_t>
 ParseEventId(std::string_view aEvent)
 {
-  std::size_t line = 0;
-  while (line < aEvent.size()) {
-    std::size_t end = aEvent.find('\n', line);
+  std::size_t lineStart = 0;
+  while (lineStart < aEvent.size()) {
+    std::size_t end = aEvent.find('\n', lineStart);
     if (end == std::string_view::npos) {
       end = aEvent.size();
     }
-    std::string_view text = aEvent.substr(line, end - line);
+    std::string_view text = aEvent.substr(lineStart, end - lineStart);
     if (text.substr(0, kId.size()) == kId) {
       text.remove_prefix(kId.size());
       while (!text.empty() && text.front() == ' ') {
@@ -34,7 +34,7 @@
       }
       return std::nullopt;
     }
-    line = end + 1;
+    lineStart = end + 1;
   }
   return std::nullopt;
 }
@@ -44,32 +44,33 @@
 std::string
 event_cursor::TakeWholeEvents(std::string& aBytes)
 {
-  std::string given;
-  std::size_t begin = 0;
-  std::size_t from = mScannedBytes > 0 ? mScannedBytes - 1 : 0;
+  std::string events;
+  std::size_t eventStart = 0;
+  std::size_t searchFrom = mScannedBytes > 0 ? mScannedBytes - 1 : 0;
   while (true) {
-    const std::size_t end = aBytes.find(kEndOfEvent, from);
+    const std::size_t end = aBytes.find(kEndOfEvent, searchFrom);
     if (end == std::string::npos) {
       break;
     }
-    const std::size_t next = end + kEndOfEvent.size();
-    const std::string_view event(aBytes.data() + begin, next - begin);
+    const std::size_t eventEnd = end + kEndOfEvent.size();
+    const std::string_view event(aBytes.data() + eventStart,
+                                 eventEnd - eventStart);
     const std::optional<std::uint64_t> id = ParseEventId(event);
-    // A source that goes on for another may begin with what was given before:
-    // an event must not reach the caller twice.
+    // The source that resumes a stream may repeat events that were already
+    // returned; the caller must receive each event only once.
     if (!id.has_value() || !mLastId.has_value() || *id > *mLastId) {
-      given.append(event);
+      events.append(event);
       ++mCount;
       if (id.has_value()) {
         mLastId = id;
       }
     }
-    begin = next;
-    from = next;
+    eventStart = eventEnd;
+    searchFrom = eventEnd;
   }
-  aBytes.erase(0, begin);
+  aBytes.erase(0, eventStart);
   mScannedBytes = aBytes.size();
-  return given;
+  return events;
 }
 
 } // namespace primrose
--- a/Libraries/LibNet/EventCursor.h
+++ b/Libraries/LibNet/EventCursor.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Finds whole events in the bytes of a stream (`text/event-stream`), so that a
-/// stream can be cut between two events and go on elsewhere. The bytes of an
-/// event are passed on as they are.
+/// Splits a `text/event-stream` into complete events, so that a stream that
+/// breaks can be resumed from another source at an event boundary. The bytes of
+/// an event are not changed.
 
 #include <cstdint>
 #include <optional>
@@ -13,20 +13,22 @@
 class event_cursor
 {
 public:
-  /// Takes all whole events from the front of `aBytes` and gives those that
-  /// come after the last one given; `aBytes` keeps the beginning of the next.
+  /// Removes all complete events from the front of `aBytes` and returns them,
+  /// except those whose id is not above `LastId()`. An incomplete event stays
+  /// in `aBytes`.
   std::string TakeWholeEvents(std::string& aBytes);
-  /// The id of the last event given, if it had one.
+  /// The id of the last returned event that had one.
   const std::optional<std::uint64_t>& LastId() const { return mLastId; }
-  /// Events given so far.
+  /// Number of events returned so far.
   std::uint64_t Count() const { return mCount; }
-  /// Begins a new source of bytes that goes on after the last event given.
+  /// Prepares for the bytes of a new source that resumes the stream after the
+  /// last returned event.
   void Resume() { mScannedBytes = 0; }
 
 private:
   std::optional<std::uint64_t> mLastId;
   std::uint64_t mCount = 0;
-  std::size_t mScannedBytes = 0; ///< Bytes known to hold no end of an event.
+  std::size_t mScannedBytes = 0; ///< Prefix without an event boundary.
 };
 
 } // namespace primrose
--- a/Libraries/LibNet/EventLoop.cpp
+++ b/Libraries/LibNet/EventLoop.cpp
@@ -12,12 +12,16 @@
 
 namespace {
 
-/// The loop of this thread: GLib's poll function has no argument to carry it.
+/// The loop of this thread. GLib's poll function takes no user data, so the
+/// loop can't be passed to it.
 thread_local event_loop* tLoop = nullptr;
 
-/// Descriptors handled in one turn; the rest are ready again in the next.
+/// Descriptors handled in one loop iteration; epoll reports the others again
+/// in the next one.
 constexpr int kEventsPerTurn = 128;
 
+/// In the data of an epoll event, the generation is stored above the
+/// descriptor. Generation 0 marks GLib's own descriptors.
 constexpr unsigned kGenerationShift = 32;
 
 } // namespace
@@ -32,8 +36,8 @@
   : mLoop(g_main_loop_new(nullptr, FALSE))
   , mEpoll(epoll_create1(EPOLL_CLOEXEC))
 {
-  // Writing to a connection that the peer closed must be an error of that
-  // write, not the end of the process.
+  // A write to a connection that the peer has closed must fail with an error
+  // instead of ending the process by SIGPIPE.
   (void)std::signal(SIGPIPE, SIG_IGN);
   tLoop = this;
   static GSourceFuncs functions = { &event_loop::Prepare,
@@ -177,8 +181,8 @@
 gint
 event_loop::WaitForReadiness(GPollFD* aPolled, guint aCount, gint aTimeout)
 {
-  // GLib's descriptors (its wake-up) stand in the same epoll set, so that one
-  // system call waits for everything.
+  // GLib's own descriptors (its wake-up descriptor) are added to the same
+  // epoll set, so that a single system call waits for everything.
   for (guint i = 0; i < aCount; ++i) {
     const int descriptor = aPolled[i].fd;
     if (!mPolledByGlib.contains(descriptor)) {
@@ -257,9 +261,9 @@
     const int descriptor =
       static_cast<int>(static_cast<std::uint32_t>(event.mWatchKey));
     const auto found = mWatched.find(descriptor);
-    // A handler earlier in this batch may have closed this descriptor, and a
-    // new connection may have been given the same number: without the
-    // generation the new one would get the old one's events.
+    // An earlier handler in this batch may have closed this descriptor, and a
+    // new connection may have received the same number. The generation keeps
+    // the events of the old connection from reaching the new one.
     if (found != mWatched.end() &&
         found->second.mGeneration == event.mWatchKey >> kGenerationShift) {
       found->second.mHandler->OnEvents(event.mEvents);
--- a/Libraries/LibNet/EventLoop.h
+++ b/Libraries/LibNet/EventLoop.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// GLib's main loop over epoll. GLib's own poll costs time for each open
-/// connection at each turn; with epoll an idle connection costs nothing.
+/// GLib's main loop on top of epoll. GLib's own poll() takes time for each open
+/// connection in each loop iteration; with epoll, idle connections are free.
 
 #include "LibCore/LibCore.h"
 
@@ -15,7 +15,7 @@
 
 namespace primrose {
 
-/// Something that waits for a descriptor.
+/// Handles the events of a watched descriptor.
 class io_handler
 {
 public:
@@ -24,9 +24,11 @@
   virtual void OnEvents(std::uint32_t aEvents) = 0;
 };
 
-/// Names a timer; 0 is no timer.
+/// Identifies a timer; 0 means no timer.
 using timer_id = std::uint64_t;
 
+/// The event loop of a process: descriptors, timers and signals, all handled in
+/// one thread.
 class event_loop final : public clock_source
 {
 public:
@@ -35,23 +37,26 @@
   event_loop(const event_loop&) = delete;
   event_loop& operator=(const event_loop&) = delete;
 
+  /// Calls `aHandler` for the epoll events `aEvents` of a descriptor until
+  /// `Unwatch`.
   void Watch(int aDescriptor, std::uint32_t aEvents, io_handler& aHandler);
+  /// Replaces the set of events that a descriptor is watched for.
   void ChangeEvents(int aDescriptor, std::uint32_t aEvents);
   void Unwatch(int aDescriptor);
 
   /// Calls `aAction` once, `aDelay` from now.
   timer_id After(duration aDelay, std::function<void()> aAction);
-  /// Takes back a timer and sets the name to 0.
+  /// Cancels a timer and sets `aTimer` to 0.
   void Cancel(timer_id& aTimer);
 
-  /// Destroys an object at the end of this turn, when none of its functions
-  /// can be on the stack any more.
+  /// Destroys an object at the end of this loop iteration, when none of its
+  /// functions can be on the stack any more.
   void DeleteLater(std::shared_ptr<void> aObject);
 
   void OnSignal(int aSignal, std::function<void()> aAction);
   void Run();
   void Quit();
-  /// Waits for the next events or timers and handles them.
+  /// Runs one loop iteration: waits for events or timers and handles them.
   void Turn();
 
   time_point Now() const override;
@@ -65,7 +70,7 @@
   };
   struct ready_event
   {
-    std::uint64_t mWatchKey = 0;
+    std::uint64_t mWatchKey = 0; ///< Generation and descriptor.
     std::uint32_t mEvents = 0;
   };
   struct loop_source;
--- a/Libraries/LibNet/FileWatch.cpp
+++ b/Libraries/LibNet/FileWatch.cpp
@@ -23,7 +23,8 @@
 std::string
 file_watch::ReadContent() const
 {
-  // A file that cannot be read just now is about to be replaced.
+  // A file that cannot be read is probably being replaced: keep the last
+  // content until the next check.
   const outcome<std::string> text =
     Capture<std::string>([this]() { return ReadFile(mPath); });
   return text ? *text.mValue : mLastContent;
--- a/Libraries/LibNet/FileWatch.h
+++ b/Libraries/LibNet/FileWatch.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Notices that a small file's content has changed. A platform may replace the
-/// settings of a process without a signal; unless it looks by itself, the
-/// process runs by the old ones until its next start.
+/// Detects changes of a small file's content by polling. A platform may replace
+/// the settings file of a process without sending a signal; without polling,
+/// the process would use the old settings until its next start.
 
 #include "LibNet/EventLoop.h"
 
@@ -15,7 +15,7 @@
 public:
   using change_callback = std::function<void()>;
 
-  /// Looks every `aInterval`; from when the watch is made on.
+  /// Reads the file at once, and then compares its content every `aInterval`.
   file_watch(event_loop& aLoop,
              std::string aPath,
              duration aInterval,
--- a/Libraries/LibNet/HttpClientCall.cpp
+++ b/Libraries/LibNet/HttpClientCall.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// An answer that has begun may stop for so long: several retransmissions on a
-/// link that loses packets, and a third of the seconds within which a change is
-/// to be in force.
+/// Longest pause between two parts of an answer. It covers several
+/// retransmissions on a link that loses packets, and is a third of the seconds
+/// within which a change is to be in force.
 constexpr duration kReceiveGapTimeout = std::chrono::seconds(1);
-/// And take so long in all, so that a server that sends a byte now and then
-/// does not hold a call for ever: 16 MB, the most that is read, on 10 Mbit/s.
+/// Longest time from the first to the last byte of an answer, so that a server
+/// that sends a byte now and then can't block a call for ever. Enough for 16
+/// MB, the largest body that is read, at 10 Mbit/s.
 constexpr duration kReceiveTimeout = std::chrono::seconds(13);
 
 } // namespace
@@ -119,7 +120,7 @@
 serial_http_client::OnInput(tcp_channel& aChannel)
 {
   if (!mBusy) {
-    // Bytes that no call asked for.
+    // Unsolicited bytes: no call is in progress.
     DropChannel();
     return;
   }
--- a/Libraries/LibNet/HttpClientCall.h
+++ b/Libraries/LibNet/HttpClientCall.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// Calls over one kept connection to one server, one at a time: what the
-/// platform's store is asked through. A call whose answer does not begin in its
-/// time, or stops on its way, ends the connection, since a late answer would
-/// belong to nobody. An answer that keeps coming is waited for: how long it
-/// takes depends on its size and on the link, and to ask again would bring the
-/// same bytes once more.
+/// An HTTP client that sends its calls one at a time over one persistent
+/// connection to one server, for example to the platform's store. If an answer
+/// does not begin before its timeout, or stalls, the connection is closed,
+/// since a late answer could be mistaken for that of the next call. An answer
+/// that keeps arriving gets more time (`kReceiveTimeout`): how long it takes
+/// depends on its size and on the link, and a retry would only transfer the
+/// same bytes again.
 
 #include "LibNet/HttpReader.h"
 #include "LibNet/TcpChannel.h"
@@ -20,16 +21,16 @@
   std::string mTarget;
   std::string mBody;
   std::string mContentType;
-  http_fields mFields; ///< Besides those that every call has.
+  http_fields mFields; ///< Fields besides those that every call has.
 
   bool operator==(const http_call&) const = default;
 };
 
 struct http_answer
 {
-  unsigned mStatus = 0; ///< 0: no answer came.
+  unsigned mStatus = 0; ///< 0: no answer was received.
   std::string mBody;
-  duration mArrival{}; ///< From its first byte to its last.
+  duration mArrival{}; ///< Time from the first byte to the last.
 
   bool operator==(const http_answer&) const = default;
 };
@@ -44,18 +45,21 @@
   serial_http_client(const serial_http_client&) = delete;
   serial_http_client& operator=(const serial_http_client&) = delete;
 
-  /// `aOnAnswer` is called exactly once, never from within `Call`; the answer
-  /// has to begin within `aTimeout` of its turn.
+  /// Queues a call. `aOnAnswer` is called once, never from within `Call`, and
+  /// not at all after `CancelCalls`. The answer has to begin within `aTimeout`
+  /// after the call was sent.
   void Call(const http_call& aCall,
             duration aTimeout,
             answer_callback aOnAnswer);
-  /// Drops the connection and all calls; none of them is answered any more.
+  /// Closes the connection and drops all calls without calling their
+  /// callbacks.
   void CancelCalls();
-  /// True while a call is open.
+  /// True while a call is in flight.
   bool Busy() const { return mBusy; }
-  /// Bytes of the answer to the open call that have come; 0 without a call.
+  /// Bytes received so far of the answer to the call in flight; 0 if there is
+  /// none.
   std::size_t Received() const { return mBusy ? mReceived : 0; }
-  /// How long the open call has been out; 0 without a call.
+  /// Time since the call in flight was sent; 0 if there is none.
   duration TimeInFlight() const;
 
   void OnInput(tcp_channel& aChannel) override;
@@ -71,7 +75,7 @@
   void SendNext();
   void FinishCall(const http_answer& aAnswer);
   void DropChannel();
-  /// The open call counts as unanswered after so long without another byte.
+  /// Fails the call in flight unless more bytes arrive within `aTime`.
   void RestartTimeout(duration aTime);
 
   event_loop& mLoop;
--- a/Libraries/LibNet/HttpMessage.cpp
+++ b/Libraries/LibNet/HttpMessage.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
+/// Names of the hop-by-hop fields, in lower case.
 constexpr std::array<std::string_view, 9> kHopByHopFields = {
   "connection", "keep-alive", "transfer-encoding", "content-length", "te",
   "trailer",    "upgrade",    "proxy-connection",  "expect"
 };
 
 char
-Lower(char aLetter)
+Lower(char aCharacter)
 {
-  return aLetter >= 'A' && aLetter <= 'Z'
-           ? static_cast<char>(aLetter - 'A' + 'a')
-           : aLetter;
+  return aCharacter >= 'A' && aCharacter <= 'Z'
+           ? static_cast<char>(aCharacter - 'A' + 'a')
+           : aCharacter;
 }
 
-/// True if a comma-separated list names this word.
+/// True if a comma-separated list contains this word, ignoring case.
 bool
 ListContains(std::string_view aList, std::string_view aWord)
 {
--- a/Libraries/LibNet/HttpMessage.h
+++ b/Libraries/LibNet/HttpMessage.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// HTTP/1.1 messages as values: heads, and what decides where a body ends.
+/// Heads of HTTP/1.1 messages as values, and functions to look up and write
+/// header fields and chunks.
 
 #include <cstdint>
 #include <optional>
@@ -20,49 +21,51 @@
 
 using http_fields = std::vector<http_field>;
 
-/// The head of a request or of an answer.
+/// The head of a request or of an answer: start line and fields.
 struct http_head
 {
   std::string mMethod;  ///< Requests only.
-  std::string mTarget;  ///< Requests only: path and query as they were sent.
+  std::string mTarget;  ///< Requests only: path and query, unchanged.
   unsigned mStatus = 0; ///< Answers only.
   http_fields mFields;
-  bool mKeepAlive = false; ///< The connection may serve another message.
+  bool mKeepAlive = false; ///< The connection may carry another message.
 
   bool operator==(const http_head&) const = default;
 };
 
+/// Compares field names, ignoring case.
 bool
 SameFieldName(std::string_view aOne, std::string_view aOther);
 
-/// The value of the first field with this name, whatever its case.
+/// The value of the first field with this name, ignoring case.
 std::optional<std::string_view>
 FieldValue(const http_fields& aFields, std::string_view aName);
 
-/// How many fields have this name.
+/// The number of fields with this name, ignoring case.
 std::size_t
 FieldCount(const http_fields& aFields, std::string_view aName);
 
-/// True for the fields that concern one connection only and are never
-/// forwarded: those of the standard and those that `Connection` names.
+/// True for hop-by-hop fields, which are never forwarded: those of the HTTP
+/// standard, and those that the `Connection` field names.
 bool
 IsHopByHopField(const http_fields& aFields, std::string_view aName);
 
-/// `name: value\r\n` at the end of a head that is being written.
+/// Appends `name: value\r\n` to a head that is being written.
 void
 AppendField(std::string& aHead,
             std::string_view aName,
             std::string_view aValue);
 
-/// The usual reason phrase of a status.
+/// The standard reason phrase of a status.
 std::string_view
 ReasonPhrase(unsigned aStatus);
 
-/// A body's bytes as one chunk; nothing for no bytes, since an empty chunk
-/// would end the message.
+/// Appends the bytes as one chunk of a chunked body. Appends nothing if there
+/// are none, since an empty chunk would end the message.
 void
 AppendChunk(std::string& aOutput, std::string_view aBytes);
 
+/// The empty chunk that ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 } // namespace primrose
--- a/Libraries/LibNet/HttpReader.cpp
+++ b/Libraries/LibNet/HttpReader.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-/// What a callback answers so that the parser stops there with an error.
+/// Returned by a callback to stop the parser with an error.
 constexpr int kStopParsing = 1;
-/// What the head's callback answers for "there is no body".
+/// Returned by the headers-complete callback for "there is no body".
 constexpr int kSkipBody = 1;
 constexpr unsigned kFirstFinalStatus = 200;
 
-/// Besides letters and digits, what may stand in a field's name.
+/// The characters that a field name may have besides letters and digits.
 constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
 
-/// True for what may name a field. A name with a blank in it, or one before the
-/// colon, is read differently by different parties.
+/// True for a valid field name. Different HTTP implementations interpret a name
+/// differently if it contains a blank or if a blank precedes the colon.
 bool
 IsToken(const std::string& aName)
 {
   return !aName.empty() &&
-         std::all_of(aName.begin(), aName.end(), [](char aLetter) {
-           return (aLetter >= 'a' && aLetter <= 'z') ||
-                  (aLetter >= 'A' && aLetter <= 'Z') ||
-                  (aLetter >= '0' && aLetter <= '9') ||
-                  kTokenPunctuation.find(aLetter) != std::string_view::npos;
+         std::all_of(aName.begin(), aName.end(), [](char aCharacter) {
+           return (aCharacter >= 'a' && aCharacter <= 'z') ||
+                  (aCharacter >= 'A' && aCharacter <= 'Z') ||
+                  (aCharacter >= '0' && aCharacter <= '9') ||
+                  kTokenPunctuation.find(aCharacter) != std::string_view::npos;
          });
 }
 
@@ -98,7 +98,7 @@
 {
   http_reader& reader = ReaderOf(aParser);
   if (reader.mState != read_state::Head) {
-    // A trailer: it says nothing that a caller may rely on, so it is dropped.
+    // A trailer field. Callers can't rely on trailers, so they are dropped.
     return 0;
   }
   if (reader.mHead.mFields.empty() || reader.mValueSeen) {
@@ -124,8 +124,9 @@
 bool
 http_reader::HeadIsUnambiguous() const
 {
-  // Two parties that read different lengths out of one head see different
-  // requests in the same bytes. Only heads with one reading are taken.
+  // If two HTTP implementations derive different body lengths from one head,
+  // they see different requests in the same bytes (request smuggling). Only
+  // heads with exactly one interpretation are accepted.
   const bool chunked = FieldCount(mHead.mFields, "transfer-encoding") > 0;
   const std::size_t lengths = FieldCount(mHead.mFields, "content-length");
   if (lengths > 1 || (chunked && lengths > 0)) {
@@ -191,7 +192,7 @@
 {
   http_reader& reader = ReaderOf(aParser);
   reader.mState = read_state::Complete;
-  // Stops the parser right behind the message.
+  // Stops the parser directly after the message.
   http_parser_pause(aParser, 1);
   return 0;
 }
@@ -212,7 +213,7 @@
   if (error == HPE_PAUSED) {
     aInput.erase(0, used);
     if (mRole == http_role::Answer && mHead.mStatus < kFirstFinalStatus) {
-      // An interim answer; the real one follows.
+      // An interim (1xx) answer; the final one follows.
       const bool noBody = mNoBody;
       Restart(noBody);
       return aInput.empty() ? mState : Read(aInput);
--- a/Libraries/LibNet/HttpReader.h
+++ b/Libraries/LibNet/HttpReader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads HTTP/1.1 messages out of a connection's bytes, one at a time.
+/// Parses HTTP/1.1 messages from the bytes of a connection, one at a time.
 
 #include "LibNet/HttpMessage.h"
 
@@ -16,12 +16,12 @@
 
 enum class read_state : std::uint8_t
 {
-  Head,       ///< The head is not whole yet.
-  Body,       ///< The head is whole; the body goes on.
-  Complete,   ///< The message is whole.
-  Malformed,  ///< These bytes are no message.
-  HeadTooBig, ///< The head is over its limit.
-  BodyTooBig, ///< The body is over its limit.
+  Head,       ///< The head is not complete yet.
+  Body,       ///< The head is complete, the body is not.
+  Complete,   ///< The message is complete.
+  Malformed,  ///< The bytes are not a valid message.
+  HeadTooBig, ///< The head exceeds its limit.
+  BodyTooBig, ///< The body exceeds its limit.
 };
 
 struct http_limits
@@ -39,22 +39,24 @@
   http_reader(const http_reader&) = delete;
   http_reader& operator=(const http_reader&) = delete;
 
-  /// Begins the next message. `aNoBody` for the answer to a HEAD request.
+  /// Prepares for the next message. Set `aNoBody` for the answer to a HEAD
+  /// request.
   void Restart(bool aNoBody = false);
-  /// Takes bytes from the front of `aInput` up to the end of one message, and
-  /// never one byte more: what follows belongs to somebody else.
+  /// Removes bytes from the front of `aInput` up to the end of one message.
+  /// The bytes after it stay, since they belong to another message.
   read_state Read(std::string& aInput);
-  /// The peer has finished sending: that is the end of an answer without
-  /// length, and a broken message otherwise.
+  /// To be called when the peer has finished sending. This completes a
+  /// close-delimited answer; any other incomplete message is malformed.
   read_state Finish();
 
   read_state State() const { return mState; }
   /// True once a byte of the message has been read.
   bool Started() const { return mHeadBytes > 0; }
   const http_head& Head() const { return mHead; }
-  /// The body's bytes that nobody has taken yet.
+  /// The bytes of the body that the caller has not removed yet.
   std::string& Body() { return mBody; }
-  /// The answer has neither length nor chunks: it ends with its connection.
+  /// True for an answer with neither a length nor chunks: its body ends when
+  /// the peer closes the connection.
   bool IsCloseDelimited() const { return mCloseDelimited; }
 
 private:
--- a/Libraries/LibNet/LibNet.h
+++ b/Libraries/LibNet/LibNet.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// LibNet: sockets on GLib's main loop: readiness by epoll, timers, buffered
-/// TCP channels, datagrams, and HTTP/1.1 messages parsed by http-parser.
+/// LibNet: networking on GLib's main loop: an event loop on epoll with timers,
+/// buffered TCP channels, UDP datagrams, and HTTP/1.1 messages parsed by
+/// http-parser.
 
 #include "LibNet/Datagram.h"
 #include "LibNet/EventCursor.h"
--- a/Libraries/LibNet/SystemAddress.h
+++ b/Libraries/LibNet/SystemAddress.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Addresses as the system's calls take them.
+/// Conversion of addresses to the structs of the socket API.
 
 #include "LibCore/LibCore.h"
 
--- a/Libraries/LibNet/TcpChannel.cpp
+++ b/Libraries/LibNet/TcpChannel.cpp
@@ -15,12 +15,13 @@
 
 namespace {
 
-/// Read in one call; larger than a usual burst of events of one stream.
+/// Bytes read in one call; more than a usual burst of events of one stream.
 constexpr std::size_t kReadBytes = std::size_t{ 32 } * 1024;
-/// New connections that may wait while a burst is accepted in.
+/// Length of the kernel's queue of connections that are not accepted yet; it
+/// absorbs bursts of new connections.
 constexpr int kBacklog = 1024;
-/// Connections accepted in one turn, so that a herd of new callers does not
-/// hold up the events of the streams that are already open.
+/// Connections accepted in one loop iteration. The bound keeps a burst of new
+/// callers from delaying the events of streams that are already open.
 constexpr int kAcceptsPerTurn = 32;
 
 void
@@ -56,8 +57,8 @@
   const sockaddr_in address = ToSockaddr(aPeer);
   (void)connect(
     mSocket, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
-  // Success, "in progress" and failure alike are told by readiness, so that
-  // the owner never hears of the end inside the constructor.
+  // Success, "in progress" and failure are all reported later through
+  // readiness, so that `OnEnd` is never called inside the constructor.
   mWatchedEvents = EPOLLOUT | EPOLLIN | EPOLLRDHUP;
   mLoop.Watch(mSocket, mWatchedEvents, *this);
 }
@@ -78,8 +79,8 @@
               static_cast<int>(Milliseconds(aLimits.mAckTimeout)));
   }
   if (aLimits.mKeepaliveIdle > duration::zero()) {
-    // A connection through a partition or to a machine without power stays
-    // silent for ever; only probes of our own show it.
+    // A connection through a network partition, or to a machine without power,
+    // stays idle for ever without an error; only keepalive probes detect it.
     const int seconds =
       std::max(1, static_cast<int>(Seconds(aLimits.mKeepaliveIdle)));
     SetOption(mSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
@@ -121,8 +122,8 @@
       return;
     }
   }
-  // An error of the send shows again as readiness, where it can end the
-  // channel without re-entering the writer.
+  // A failed send is reported again through readiness, where the channel can
+  // be ended without re-entering the code that called `Write`.
   mOutput.append(aBytes);
   mWantWrite = true;
   UpdateWatchedEvents();
@@ -205,8 +206,9 @@
     return;
   }
   if ((aEvents & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
-    // What arrived before a reset or an end still counts, so read first. A
-    // paused reader hears only of the peer's leaving.
+    // Bytes that arrived before a reset or an end are still valid, so read
+    // first. While reading is paused, only the end of the connection leads to
+    // a read.
     if (!mPaused || (aEvents & (EPOLLHUP | EPOLLERR | EPOLLRDHUP)) != 0) {
       Read();
     }
@@ -219,19 +221,19 @@
 void
 tcp_channel::Read()
 {
-  static std::array<char, kReadBytes> scratch;
-  const ssize_t got = recv(mSocket, scratch.data(), scratch.size(), 0);
-  if (got < 0) {
+  static std::array<char, kReadBytes> buffer;
+  const ssize_t received = recv(mSocket, buffer.data(), buffer.size(), 0);
+  if (received < 0) {
     if (errno != EAGAIN && errno != EINTR) {
       NotifyEnd(channel_end::Reset);
     }
     return;
   }
-  if (got == 0) {
+  if (received == 0) {
     NotifyEnd(channel_end::Finished);
     return;
   }
-  mInput.append(scratch.data(), static_cast<std::size_t>(got));
+  mInput.append(buffer.data(), static_cast<std::size_t>(received));
   if (mOwner != nullptr) {
     mOwner->OnInput(*this);
   }
@@ -286,25 +288,25 @@
                    const ip_address& aAddress,
                    accept_callback aOnAccept)
 {
-  const int listening =
+  const int descriptor =
     socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (listening < 0) {
+  if (descriptor < 0) {
     return Fail(error_kind::Internal,
                 std::string("no socket: ") + std::strerror(errno));
   }
-  SetOption(listening, SOL_SOCKET, SO_REUSEADDR, 1);
+  SetOption(descriptor, SOL_SOCKET, SO_REUSEADDR, 1);
   const sockaddr_in address = ToSockaddr(aAddress);
-  if (bind(listening,
+  if (bind(descriptor,
            reinterpret_cast<const sockaddr*>(&address),
            sizeof(address)) != 0 ||
-      listen(listening, kBacklog) != 0) {
-    const std::string why = std::strerror(errno);
-    close(listening);
+      listen(descriptor, kBacklog) != 0) {
+    const std::string reason = std::strerror(errno);
+    close(descriptor);
     return Fail(error_kind::SettingsInvalid,
-                "cannot listen on " + aAddress.Text() + ": " + why);
+                "cannot listen on " + aAddress.Text() + ": " + reason);
   }
   return std::unique_ptr<tcp_listener>(
-    new tcp_listener(aLoop, listening, std::move(aOnAccept)));
+    new tcp_listener(aLoop, descriptor, std::move(aOnAccept)));
 }
 
 std::uint16_t
--- a/Libraries/LibNet/TcpChannel.h
+++ b/Libraries/LibNet/TcpChannel.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One TCP connection with buffers, and a listening socket.
+/// A buffered TCP connection, and a listening socket.
 
 #include "LibNet/EventLoop.h"
 
@@ -11,27 +11,30 @@
 
 enum class channel_end : std::uint8_t
 {
-  Finished, ///< The peer closed its side in good order.
-  Reset,    ///< The connection broke: reset, unreachable, timed out.
+  Finished, ///< The peer closed its side normally.
+  Reset,    ///< The connection failed: reset, unreachable or timed out.
 };
 
 class tcp_channel;
 
-/// Who uses a channel. Every function may close the channel.
+/// The callbacks of the object that uses a channel. Each of them may close the
+/// channel.
 class channel_owner
 {
 public:
   virtual ~channel_owner() = default;
   virtual void OnConnected(tcp_channel&) {}
-  /// New bytes stand in `Input()`; the owner takes what it has used.
+  /// New bytes were appended to `Input()`; the owner removes what it consumes.
   virtual void OnInput(tcp_channel& aChannel) = 0;
   virtual void OnEnd(tcp_channel& aChannel, channel_end aEnd) = 0;
-  /// All that was written has been handed to the system.
+  /// All written bytes have been passed to the kernel.
   virtual void OnDrained(tcp_channel&) {}
 };
 
-/// How long written bytes may stay without an acknowledgement, and a silent
-/// idle connection without an answer to a probe, before it counts as broken.
+/// How a dead connection is detected; zero disables a check. After
+/// `mAckTimeout`, unacknowledged bytes end the connection. After
+/// `mKeepaliveIdle` without traffic, keepalive probes begin, and the connection
+/// ends if they get no answer.
 struct channel_limits
 {
   duration mAckTimeout{};
@@ -43,9 +46,9 @@
 class tcp_channel final : public io_handler
 {
 public:
-  /// Takes over an accepted, non-blocking socket.
+  /// Takes ownership of an accepted, non-blocking socket.
   tcp_channel(event_loop& aLoop, int aSocket, const channel_limits& aLimits);
-  /// Begins to connect; `OnConnected` or `OnEnd` follows.
+  /// Starts to connect; `OnConnected` or `OnEnd` is called later.
   tcp_channel(event_loop& aLoop,
               const ip_address& aPeer,
               const channel_limits& aLimits);
@@ -58,16 +61,17 @@
   bool Connected() const { return mConnected; }
   std::string& Input() { return mInput; }
   void Write(std::string_view aBytes);
-  /// Bytes written that the system has not accepted yet.
+  /// Written bytes that the kernel has not accepted yet.
   std::size_t Pending() const { return mOutput.size() - mSentBytes; }
-  /// Stops and goes on with reading, so that a slow reader slows its sender.
+  /// Pauses or resumes reading, so that a slow consumer applies back-pressure
+  /// to the sender.
   void PauseReading(bool aPaused);
-  /// Closes at once; the owner hears nothing more. Unread input makes the
-  /// peer see a reset.
+  /// Closes at once, without further callbacks. If input is unread, the peer
+  /// sees a reset.
   void Close();
-  /// Closes so that the peer sees a reset.
+  /// Closes with a reset of the connection.
   void Abort();
-  /// Closes once all that was written has been handed over.
+  /// Closes once all written bytes have been passed to the kernel.
   void CloseWhenDrained();
   void OnEvents(std::uint32_t aEvents) override;
 
@@ -91,7 +95,7 @@
   std::size_t mSentBytes = 0;
 };
 
-/// Accepts connections.
+/// A listening socket that passes each accepted connection to a callback.
 class tcp_listener final : public io_handler
 {
 public:
@@ -103,7 +107,7 @@
   ~tcp_listener() override;
   tcp_listener(const tcp_listener&) = delete;
   tcp_listener& operator=(const tcp_listener&) = delete;
-  /// The port, also where the system chose it.
+  /// The bound port, also if the kernel chose it.
   std::uint16_t Port() const;
   void OnEvents(std::uint32_t aEvents) override;
 
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -9,8 +9,8 @@
 
 constexpr duration kAgentConnectTimeout = std::chrono::milliseconds(1000);
 
-/// The largest message taken from a peer: a prompt of a million tokens is
-/// about 4 MB; more than this is refused before memory is spent on it.
+/// Limits for messages from peers: larger ones are refused before memory is
+/// allocated for them. A prompt of a million tokens is about 4 MB.
 capnp::ReaderOptions
 MessageLimits()
 {
@@ -146,7 +146,8 @@
     Open()
       .catch_(
         [this](kj::Exception&& aException) -> kj::Promise<wire::Agent::Client> {
-          // Only marked: the fork must not be destroyed by its own callback.
+          // Only set the flag: the forked promise must not be destroyed by
+          // its own callback.
           mNeedsReconnect = true;
           return kj::mv(aException);
         })
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Cap'n Proto RPC over our streams: a server that hands every peer the gate,
-/// and a client connection to one agent that reconnects by itself.
+/// Cap'n Proto RPC over `GlibStream`: a server that gives each peer the `Gate`
+/// interface, and a client connection to one agent that reconnects by itself.
 
 #include "LibWire/GlibStream.h"
 #include "LibWire/Primrose.capnp.h"
@@ -12,14 +12,14 @@
 
 namespace primrose {
 
-/// Serves one bootstrap capability on a listening socket.
+/// Listens on a socket and offers one bootstrap capability to each peer.
 class rpc_server
 {
 public:
   static result<std::unique_ptr<rpc_server>> Open(const ip_address& aAddress,
                                                   wire::Gate::Client aGate);
   const ip_address& Address() const { return mListener->Address(); }
-  /// Stops taking connections; those that are open go on.
+  /// Stops accepting connections; open ones are kept.
   void StopListening() { mListener.reset(); }
 
 private:
@@ -37,8 +37,8 @@
   std::unique_ptr<listener> mListener;
 };
 
-/// A connection to one agent. It connects at first use and again after the
-/// connection broke.
+/// A connection to one agent. It connects at the first use, and reconnects at
+/// the next use after the connection has failed.
 class agent_connection
 {
 public:
@@ -47,7 +47,8 @@
   agent_connection(const agent_connection&) = delete;
   agent_connection& operator=(const agent_connection&) = delete;
 
-  /// The agent; fails with DISCONNECTED if it cannot be reached.
+  /// Resolves to the agent's RPC interface. Fails with DISCONNECTED if the
+  /// agent refuses or drops the connection, or OVERLOADED if it takes too long.
   kj::Promise<wire::Agent::Client> Get();
   const ip_address& Address() const { return mAddress; }
 
@@ -60,7 +61,8 @@
   std::string mCaller;
   kj::Maybe<kj::ForkedPromise<wire::Agent::Client>> mOpening;
   std::shared_ptr<open_connection> mConnection;
-  /// The connection broke or could not be made; the next use makes a new one.
+  /// The connection has failed or could not be opened; the next use opens a new
+  /// one.
   bool mNeedsReconnect = false;
 };
 
--- a/Libraries/LibWire/Convert.cpp
+++ b/Libraries/LibWire/Convert.cpp
@@ -89,7 +89,8 @@
 refusal
 FromWire(wire::Refusal aRefusal)
 {
-  // A newer peer may know reasons that we do not; for us it has no room.
+  // A newer peer may send a reason that this version doesn't support; it is
+  // treated as `NoRoom`.
   const unsigned value = static_cast<unsigned>(aRefusal);
   return value > static_cast<unsigned>(refusal::Duplicate)
            ? refusal::NoRoom
--- a/Libraries/LibWire/Convert.h
+++ b/Libraries/LibWire/Convert.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Between the wire's structs and those that decisions take. Values from the
-/// wire are bounded here, before anything is computed with them.
+/// Conversions between the structs of the RPC protocol and those of
+/// LibDecision. Values from peers are limited here, before anything is computed
+/// from them.
 
 #include "LibDecision/LibDecision.h"
 #include "LibWire/Primrose.capnp.h"
@@ -31,10 +32,11 @@
 hold_role
 FromWire(wire::HoldRole aRole);
 
-/// A remaining time from the wire; at most a day.
+/// Converts a received remaining time; the result is at most a day.
 duration
 RemainingFromWire(std::uint64_t aMilliseconds);
-/// A remaining time for the wire, rounded down: the next hop ends first.
+/// Converts a remaining time for sending. It is rounded down, so that the time
+/// of the next hop ends first.
 std::uint64_t
 RemainingToWire(duration aRemaining);
 
--- a/Libraries/LibWire/GlibEventPort.cpp
+++ b/Libraries/LibWire/GlibEventPort.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Turns of the KJ loop before GLib's other sources get their chance; without
-/// a bound a busy RPC connection would starve timers, which end requests.
+/// Turns of the KJ loop before GLib's other sources are dispatched. Without a
+/// bound, a busy RPC connection would starve the timers, which end requests.
 constexpr unsigned kMaxTurnsPerDispatch = 64;
 
 } // namespace
@@ -59,7 +59,8 @@
   glib_event_port* const self = static_cast<glib_event_port*>(aSelf);
   GSource* const source = self->mSource;
   self->mLoop.run(kMaxTurnsPerDispatch);
-  // The run may have removed this source and even installed a new one.
+  // Running the loop may have removed this source, and may also have installed
+  // a new one.
   return self->mSource == source ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
--- a/Libraries/LibWire/GlibEventPort.h
+++ b/Libraries/LibWire/GlibEventPort.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Runs a KJ event loop inside GLib's default main context, in one thread: an
-/// idle source is present exactly while the KJ loop has something to do.
+/// Runs a KJ event loop inside GLib's default main context, in one thread. An
+/// idle source is installed exactly while the KJ loop has events to run.
 
 #include <kj/async.h>
 
--- a/Libraries/LibWire/GlibStream.cpp
+++ b/Libraries/LibWire/GlibStream.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-/// One thread, so a plain counter.
+/// Not atomic, since all streams run in one thread.
 stream_traffic gTraffic;
 
-/// A promise that GLib fulfils once a descriptor is ready.
+/// Fulfils a promise from GLib once a descriptor is ready.
 struct readiness
 {
   kj::Own<kj::PromiseFulfiller<void>> mFulfiller;
@@ -114,8 +114,8 @@
     if (aPieces.size() == 0) {
       return kj::READY_NOW;
     }
-    // One gathered send for the usual small message: a send for each segment
-    // would put a segment table and its message into two packets.
+    // Send small messages in one gathered call: a send for each segment would
+    // put the segment table and the message into separate packets.
     constexpr size_t kMaxPieces = 16;
     const size_t count = std::min(aPieces.size(), kMaxPieces);
     iovec vectors[kMaxPieces];
--- a/Libraries/LibWire/GlibStream.h
+++ b/Libraries/LibWire/GlibStream.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// A TCP connection as a KJ stream whose readiness comes from GLib, and the
-/// listening and connecting that make one.
+/// TCP connections as KJ streams that wait for readiness through GLib, and
+/// functions to open and accept them.
 
 #include "LibCore/LibCore.h"
 
@@ -21,10 +21,11 @@
   bool operator==(const stream_traffic&) const = default;
 };
 
+/// The traffic of this process since its start.
 stream_traffic
 TotalTraffic();
 
-/// Takes ownership of a connected, non-blocking socket.
+/// Makes a stream that owns a connected, non-blocking socket.
 kj::Own<kj::AsyncIoStream>
 WrapSocket(int aDescriptor);
 
@@ -32,7 +33,7 @@
 kj::Promise<kj::Own<kj::AsyncIoStream>>
 Connect(const ip_address& aAddress);
 
-/// Listens until destroyed and hands over each accepted connection.
+/// Listens until destroyed and passes each accepted connection to a handler.
 class listener
 {
 public:
@@ -44,7 +45,7 @@
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
 
-  /// The address in fact bound; tells the port when 0 was asked for.
+  /// The bound address, with the port that the kernel chose if 0 was requested.
   const ip_address& Address() const { return mAddress; }
 
 private:
--- a/Libraries/LibWire/LibWire.h
+++ b/Libraries/LibWire/LibWire.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// LibWire: the protocol between our processes (Cap'n Proto RPC over TCP) and
-/// the marriage of its event loop with GLib's main loop.
+/// LibWire: the protocol between the processes of this project (Cap'n Proto RPC
+/// over TCP), and the integration of KJ's event loop into GLib's main loop.
 
 #include "LibWire/Connection.h"
 #include "LibWire/Convert.h"
--- a/Libraries/LibWire/Timer.cpp
+++ b/Libraries/LibWire/Timer.cpp
@@ -39,8 +39,8 @@
   kj::PromiseFulfillerPair<void> pair = kj::newPromiseAndFulfiller<void>();
   kj::Own<timer> state = kj::heap<timer>();
   state->mFulfiller = kj::mv(pair.fulfiller);
-  // Rounded up: a timer that fires before its time would make its owner find
-  // that nothing is due yet and set it again at once.
+  // Rounded up: if a timer fired too early, its owner would find that nothing
+  // is due yet and set the timer again at once.
   const std::int64_t milliseconds =
     Milliseconds(aDelay + std::chrono::milliseconds(1) - duration(1));
   constexpr std::int64_t kMaxDelayMs = 86400000;
--- a/Libraries/LibWire/Timer.h
+++ b/Libraries/LibWire/Timer.h
@@ -13,8 +13,8 @@
 kj::Promise<void>
 Delay(duration aDelay);
 
-/// The promise's own value, or a thrown KJ exception of type OVERLOADED when
-/// `aTimeout` has passed first; the work is dropped then.
+/// Resolves as `aPromise` does. If `aTimeout` passes first, fails with a KJ
+/// exception of type OVERLOADED and drops `aPromise`.
 template<typename T>
 kj::Promise<T>
 WithTimeout(kj::Promise<T> aPromise, duration aTimeout)
--- a/Tests/Unit/HttpReaderTest.cpp
+++ b/Tests/Unit/HttpReaderTest.cpp
@@ -30,21 +30,21 @@
 class http_reader_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(http_reader_test);
-  CPPUNIT_TEST(TakesOneMessageAndNotAByteMore);
-  CPPUNIT_TEST(AnyCutOfTheBytesReadsTheSame);
-  CPPUNIT_TEST(HeadsWithTwoReadingsAreRefused);
-  CPPUNIT_TEST(LimitsHold);
-  CPPUNIT_TEST(AnswerWithoutLengthEndsWithConnection);
-  CPPUNIT_TEST(ShortAnswerIsBroken);
-  CPPUNIT_TEST(InterimAnswersArePassedOver);
-  CPPUNIT_TEST(EventsAreCutWhole);
-  CPPUNIT_TEST(ResumedStreamRepeatsNothing);
-  CPPUNIT_TEST(LogNeverWaitsForItsReader);
-  CPPUNIT_TEST(LineBudgetRefills);
+  CPPUNIT_TEST(ReadsExactlyOneMessage);
+  CPPUNIT_TEST(MessageMayBeSplitAtAnyByte);
+  CPPUNIT_TEST(AmbiguousHeadsAreRejected);
+  CPPUNIT_TEST(LimitsAreEnforced);
+  CPPUNIT_TEST(CloseDelimitedAnswerEndsWithConnection);
+  CPPUNIT_TEST(TruncatedAnswerIsMalformed);
+  CPPUNIT_TEST(InterimAnswersAreSkipped);
+  CPPUNIT_TEST(OnlyCompleteEventsAreReturned);
+  CPPUNIT_TEST(ResumedStreamSkipsRepeatedEvents);
+  CPPUNIT_TEST(LogWritesNeverBlock);
+  CPPUNIT_TEST(LineRateLimiterRefills);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void TakesOneMessageAndNotAByteMore()
+  void ReadsExactlyOneMessage()
   {
     http_reader reader(http_role::Request, http_limits{});
     std::string rest;
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(reader.Body().empty());
   }
 
-  void AnyCutOfTheBytesReadsTheSame()
+  void MessageMayBeSplitAtAnyByte()
   {
     const std::string whole =
       Request("Transfer-Encoding: chunked\r\nX-One: 1\r\n",
@@ -80,11 +80,11 @@
     }
   }
 
-  /// Symptom: an endpoint runs a request that no caller sent.
-  /// Sequence: a caller sends a head with two lengths, or a length and chunks;
-  /// the entry takes one reading of it, the endpoint the other.
-  /// Cause: the bytes behind the shorter body are taken for a request.
-  void HeadsWithTwoReadingsAreRefused()
+  /// Guards against request smuggling, where an endpoint runs a request that no
+  /// caller sent. A head has two lengths, or a length and chunks; the gateway
+  /// uses one of them and the endpoint the other, and the bytes after the
+  /// shorter body are parsed as a request.
+  void AmbiguousHeadsAreRejected()
   {
     for (const char* const fields :
          { "Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -106,7 +106,7 @@
                    read_state::Malformed);
   }
 
-  void LimitsHold()
+  void LimitsAreEnforced()
   {
     http_reader reader(http_role::Request, http_limits{ 200, 10 });
     CPPUNIT_ASSERT(
@@ -118,7 +118,7 @@
       read_state::HeadTooBig);
   }
 
-  void AnswerWithoutLengthEndsWithConnection()
+  void CloseDelimitedAnswerEndsWithConnection()
   {
     http_reader reader(http_role::Answer, http_limits{});
     CPPUNIT_ASSERT(ReadOne(reader, "HTTP/1.1 200 OK\r\n\r\nabc") ==
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), reader.Body());
   }
 
-  void ShortAnswerIsBroken()
+  void TruncatedAnswerIsMalformed()
   {
     http_reader reader(http_role::Answer, http_limits{});
     CPPUNIT_ASSERT(
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT(reader.Finish() == read_state::Malformed);
   }
 
-  void InterimAnswersArePassedOver()
+  void InterimAnswersAreSkipped()
   {
     http_reader reader(http_role::Answer, http_limits{});
     CPPUNIT_ASSERT(ReadOne(reader,
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, reader.Head().mStatus);
   }
 
-  void EventsAreCutWhole()
+  void OnlyCompleteEventsAreReturned()
   {
     event_cursor cursor;
     std::string bytes = "id: 1\ndata: a\n\nid: 2\nda";
@@ -162,7 +162,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), *cursor.LastId());
   }
 
-  void ResumedStreamRepeatsNothing()
+  void ResumedStreamSkipsRepeatedEvents()
   {
     event_cursor cursor;
     std::string bytes = "id: 4\n\nid: 5\n\nid: 6\nhalf";
@@ -173,22 +173,23 @@
                          cursor.TakeWholeEvents(again));
   }
 
-  /// Symptom: all callers of an entry wait. Sequence: the reader of its log
-  /// stops; the pipe fills. Cause: a write to the log that blocks.
-  void LogNeverWaitsForItsReader()
+  /// Guards against log writes that block: when the reader of a gateway's log
+  /// stops and the pipe fills up, all callers of the gateway would wait.
+  void LogWritesNeverBlock()
   {
     int ends[2];
     CPPUNIT_ASSERT_EQUAL(0, pipe(ends));
-    constexpr std::size_t kMost = 4096;
-    bounded_output output(ends[1], kMost);
+    constexpr std::size_t kMaxPendingBytes = 4096;
+    bounded_output output(ends[1], kMaxPendingBytes);
     const std::string line(100, 'x');
     for (int i = 0; i < 5000; ++i) {
       output.Append(line);
       output.Flush();
     }
     CPPUNIT_ASSERT(output.Dropped() > 0);
-    CPPUNIT_ASSERT(output.Pending() <= kMost);
-    // The reader is back: what was kept arrives, then how much was left out.
+    CPPUNIT_ASSERT(output.Pending() <= kMaxPendingBytes);
+    // Once the pipe is read again, the buffered lines arrive, followed by the
+    // number of dropped lines.
     std::string seen(std::size_t{ 1 } << 20U, ' ');
     CPPUNIT_ASSERT(read(ends[0], seen.data(), seen.size()) > 0);
     output.Flush();
@@ -203,7 +204,7 @@
     close(ends[1]);
   }
 
-  void LineBudgetRefills()
+  void LineRateLimiterRefills()
   {
     line_budget budget{ 10, 5, 5, 0 };
     int taken = 0;
