--- a/Libraries/LibHttp/ServerSentEvents.h
+++ b/Libraries/LibHttp/ServerSentEvents.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Server-sent events, as in the HTML standard's "event stream" format. Only
-/// the `data` field is used here; others are skipped.
+/// Server-sent events in the HTML standard's "event stream" format. Only the
+/// `data` field is supported; other fields are skipped.
 
 #include "LibCore/LibCore.h"
 
@@ -11,31 +11,32 @@
 
 namespace primrose {
 
-/// Cuts a byte stream into events. An event over the limit is an error: a
-/// stream from outside must not make this process hold unbounded memory.
+/// Splits a byte stream into events. An event over the limit is an error, so
+/// that an untrusted stream can't make this process use unbounded memory.
 class sse_parser
 {
 public:
-  static constexpr std::size_t kDefaultLimit = std::size_t{ 1024 } * 1024;
+  static constexpr std::size_t kDefaultMaxEventBytes =
+    std::size_t{ 1024 } * 1024;
 
-  explicit sse_parser(std::size_t aLimit = kDefaultLimit)
-    : mLimit(aLimit)
+  explicit sse_parser(std::size_t aMaxEventBytes = kDefaultMaxEventBytes)
+    : mMaxEventBytes(aMaxEventBytes)
   {
   }
 
-  /// Takes the next bytes; gives the data of each event that they complete.
+  /// Parses the next bytes. Returns the data of each event that they complete.
   result<std::vector<std::string>> Feed(std::string_view aBytes);
 
 private:
-  void TakeLine(std::string_view aLine, std::vector<std::string>& aEvents);
+  void ProcessLine(std::string_view aLine, std::vector<std::string>& aEvents);
 
-  std::size_t mLimit;
+  std::size_t mMaxEventBytes;
   std::string mLine;
   std::string mData;
   bool mHasData = false;
 };
 
-/// One event as it is sent.
+/// Formats one event with the given data, one `data` field for each line.
 std::string
 FormatEvent(std::string_view aData);
 
--- a/Libraries/LibNet/Datagram.cpp
+++ b/Libraries/LibNet/Datagram.cpp
@@ -13,49 +13,50 @@
 
 namespace {
 
-/// The largest datagram that IPv4 carries.
-constexpr std::size_t kMostBytes = 65536;
-/// Taken in one turn, so that a talkative peer does not hold up callers.
+/// The largest datagram that IPv4 can carry.
+constexpr std::size_t kMaxDatagramBytes = 65536;
+/// Datagrams read in one loop iteration. The bound keeps a peer that sends many
+/// datagrams from delaying callers.
 constexpr int kMaxDatagramsPerTurn = 64;
 
 } // namespace
 
 datagram_socket::datagram_socket(event_loop& aLoop,
                                  int aSocket,
-                                 received aReceived)
+                                 receive_callback aOnReceive)
   : mLoop(aLoop)
   , mSocket(aSocket)
-  , mReceived(std::move(aReceived))
+  , mOnReceive(std::move(aOnReceive))
 {
   mLoop.Watch(mSocket, EPOLLIN, *this);
 }
 
 datagram_socket::~datagram_socket()
 {
-  mLoop.Forget(mSocket);
+  mLoop.Unwatch(mSocket);
   close(mSocket);
 }
 
 result<std::unique_ptr<datagram_socket>>
 datagram_socket::Open(event_loop& aLoop,
                       const ip_address& aAddress,
-                      received aReceived)
+                      receive_callback aOnReceive)
 {
-  const int opened =
+  const int descriptor =
     socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const sockaddr_in address = ToSockaddr(aAddress);
-  if (opened < 0 || bind(opened,
-                         reinterpret_cast<const sockaddr*>(&address),
-                         sizeof(address)) != 0) {
-    const std::string why = std::strerror(errno);
-    if (opened >= 0) {
-      close(opened);
+  if (descriptor < 0 || bind(descriptor,
+                             reinterpret_cast<const sockaddr*>(&address),
+                             sizeof(address)) != 0) {
+    const std::string reason = std::strerror(errno);
+    if (descriptor >= 0) {
+      close(descriptor);
     }
     return Fail(error_kind::SettingsInvalid,
-                "cannot receive on " + aAddress.Text() + ": " + why);
+                "cannot receive on " + aAddress.Text() + ": " + reason);
   }
   return std::unique_ptr<datagram_socket>(
-    new datagram_socket(aLoop, opened, std::move(aReceived)));
+    new datagram_socket(aLoop, descriptor, std::move(aOnReceive)));
 }
 
 std::uint16_t
@@ -82,23 +83,23 @@
 void
 datagram_socket::OnEvents(std::uint32_t)
 {
-  static std::array<char, kMostBytes> scratch;
+  static std::array<char, kMaxDatagramBytes> buffer;
   for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof(from);
-    const ssize_t got = recvfrom(mSocket,
-                                 scratch.data(),
-                                 scratch.size(),
-                                 0,
-                                 reinterpret_cast<sockaddr*>(&from),
-                                 &size);
-    if (got < 0) {
+    const ssize_t received = recvfrom(mSocket,
+                                      buffer.data(),
+                                      buffer.size(),
+                                      0,
+                                      reinterpret_cast<sockaddr*>(&from),
+                                      &size);
+    if (received < 0) {
       return;
     }
     std::array<char, INET_ADDRSTRLEN> text{};
     inet_ntop(AF_INET, &from.sin_addr, text.data(), text.size());
-    mReceived({ scratch.data(), static_cast<std::size_t>(got) },
-              { text.data(), ntohs(from.sin_port) });
+    mOnReceive({ buffer.data(), static_cast<std::size_t>(received) },
+               { text.data(), ntohs(from.sin_port) });
   }
 }
 
--- a/Libraries/LibNet/EventLoop.h
+++ b/Libraries/LibNet/EventLoop.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// GLib's main loop over epoll. GLib's own poll costs time for each open
-/// connection at each turn; with epoll an idle connection costs nothing.
+/// GLib's main loop on top of epoll. GLib's own poll() takes time for each open
+/// connection in each loop iteration; with epoll, idle connections are free.
 
 #include "LibCore/LibCore.h"
 
@@ -15,7 +15,7 @@
 
 namespace primrose {
 
-/// Something that waits for a descriptor.
+/// Handles the events of a watched descriptor.
 class io_handler
 {
 public:
@@ -24,9 +24,11 @@
   virtual void OnEvents(std::uint32_t aEvents) = 0;
 };
 
-/// Names a timer; 0 is no timer.
+/// Identifies a timer; 0 means no timer.
 using timer_id = std::uint64_t;
 
+/// The event loop of a process: descriptors, timers and signals, all handled in
+/// one thread.
 class event_loop final : public clock_source
 {
 public:
@@ -35,37 +37,40 @@
   event_loop(const event_loop&) = delete;
   event_loop& operator=(const event_loop&) = delete;
 
+  /// Calls `aHandler` for the epoll events `aEvents` of a descriptor until
+  /// `Unwatch`.
   void Watch(int aDescriptor, std::uint32_t aEvents, io_handler& aHandler);
+  /// Replaces the set of events that a descriptor is watched for.
   void ChangeEvents(int aDescriptor, std::uint32_t aEvents);
-  void Forget(int aDescriptor);
+  void Unwatch(int aDescriptor);
 
   /// Calls `aAction` once, `aDelay` from now.
   timer_id After(duration aDelay, std::function<void()> aAction);
-  /// Takes back a timer and sets the name to 0.
+  /// Cancels a timer and sets `aTimer` to 0.
   void Cancel(timer_id& aTimer);
 
-  /// Destroys an object at the end of this turn, when none of its functions
-  /// can be on the stack any more.
+  /// Destroys an object at the end of this loop iteration, when none of its
+  /// functions can be on the stack any more.
   void DeleteLater(std::shared_ptr<void> aObject);
 
   void OnSignal(int aSignal, std::function<void()> aAction);
   void Run();
   void Quit();
-  /// Waits for the next events or timers and handles them.
+  /// Runs one loop iteration: waits for events or timers and handles them.
   void Turn();
 
   time_point Now() const override;
   wall_time Wall() const override;
 
 private:
-  struct watched
+  struct watch_entry
   {
     io_handler* mHandler = nullptr;
     std::uint32_t mGeneration = 0;
   };
-  struct ready
+  struct ready_event
   {
-    std::uint64_t mWatch = 0;
+    std::uint64_t mWatchKey = 0; ///< Generation and descriptor.
     std::uint32_t mEvents = 0;
   };
   struct loop_source;
@@ -84,9 +89,9 @@
   int mEpoll = -1;
   std::uint32_t mGeneration = 0;
   timer_id mLastTimer = 0;
-  std::unordered_map<int, watched> mWatched;
+  std::unordered_map<int, watch_entry> mWatched;
   std::unordered_map<int, gushort> mPolledByGlib;
-  std::vector<ready> mReady;
+  std::vector<ready_event> mReady;
   std::map<std::pair<time_point, timer_id>, std::function<void()>> mTimers;
   std::unordered_map<timer_id, time_point> mTimerTimes;
   std::vector<std::shared_ptr<void>> mPendingDeletes;
--- a/Libraries/LibNet/HttpClientCall.cpp
+++ b/Libraries/LibNet/HttpClientCall.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// An answer that has begun may stop for so long: several retransmissions on a
-/// link that loses packets, and a third of the seconds within which a change is
-/// to be in force.
+/// Longest pause between two parts of an answer. It covers several
+/// retransmissions on a link that loses packets, and is a third of the seconds
+/// within which a change is to be in force.
 constexpr duration kReceiveGapTimeout = std::chrono::seconds(1);
-/// And take so long in all, so that a server that sends a byte now and then
-/// does not hold a call for ever: 16 MB, the most that is read, on 10 Mbit/s.
+/// Longest time from the first to the last byte of an answer, so that a server
+/// that sends a byte now and then can't block a call for ever. Enough for 16
+/// MB, the largest body that is read, at 10 Mbit/s.
 constexpr duration kReceiveTimeout = std::chrono::seconds(13);
 
 } // namespace
@@ -31,7 +32,7 @@
 void
 serial_http_client::Call(const http_call& aCall,
                          duration aTimeout,
-                         answered aAnswered)
+                         answer_callback aOnAnswer)
 {
   std::string bytes = aCall.mMethod + ' ' + aCall.mTarget + " HTTP/1.1\r\n";
   AppendField(bytes, "Host", mServer.Text());
@@ -45,14 +46,14 @@
     AppendField(bytes, "Content-Length", std::to_string(aCall.mBody.size()));
   }
   bytes += "\r\n" + aCall.mBody;
-  mWaiting.push_back({ std::move(bytes), aTimeout, std::move(aAnswered) });
+  mQueue.push_back({ std::move(bytes), aTimeout, std::move(aOnAnswer) });
   SendNext();
 }
 
 void
 serial_http_client::SendNext()
 {
-  if (mBusy || mWaiting.empty()) {
+  if (mBusy || mQueue.empty()) {
     return;
   }
   mBusy = true;
@@ -63,9 +64,9 @@
   }
   mReader.Restart();
   mReceived = 0;
-  mAsked = mLoop.Now();
-  mChannel->Write(mWaiting.front().mBytes);
-  RestartTimeout(mWaiting.front().mTimeout);
+  mSentAt = mLoop.Now();
+  mChannel->Write(mQueue.front().mBytes);
+  RestartTimeout(mQueue.front().mTimeout);
 }
 
 void
@@ -75,7 +76,7 @@
   mTimer = mLoop.After(aTime, [this]() {
     mTimer = 0;
     DropChannel();
-    Settle({});
+    FinishCall({});
   });
 }
 
@@ -84,14 +85,14 @@
 {
   mLoop.Cancel(mTimer);
   DropChannel();
-  mWaiting.clear();
+  mQueue.clear();
   mBusy = false;
 }
 
 duration
 serial_http_client::TimeInFlight() const
 {
-  return mBusy ? mLoop.Now() - mAsked : duration::zero();
+  return mBusy ? mLoop.Now() - mSentAt : duration::zero();
 }
 
 void
@@ -105,11 +106,11 @@
 }
 
 void
-serial_http_client::Settle(const http_answer& aAnswer)
+serial_http_client::FinishCall(const http_answer& aAnswer)
 {
   mLoop.Cancel(mTimer);
-  const answered notify = std::move(mWaiting.front().mAnswered);
-  mWaiting.pop_front();
+  const answer_callback notify = std::move(mQueue.front().mOnAnswer);
+  mQueue.pop_front();
   mBusy = false;
   notify(aAnswer);
   SendNext();
@@ -119,7 +120,7 @@
 serial_http_client::OnInput(tcp_channel& aChannel)
 {
   if (!mBusy) {
-    // Bytes that no call asked for.
+    // Unsolicited bytes: no call is in progress.
     DropChannel();
     return;
   }
@@ -133,7 +134,7 @@
   }
   if (state != read_state::Complete) {
     DropChannel();
-    Settle({});
+    FinishCall({});
     return;
   }
   const http_answer answer{ mReader.Head().mStatus,
@@ -142,7 +143,7 @@
   if (!mReader.Head().mKeepAlive) {
     DropChannel();
   }
-  Settle(answer);
+  FinishCall(answer);
 }
 
 void
@@ -150,7 +151,7 @@
 {
   DropChannel();
   if (mBusy) {
-    Settle({});
+    FinishCall({});
   }
 }
 
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -9,8 +9,8 @@
 
 constexpr duration kAgentConnectTimeout = std::chrono::milliseconds(1000);
 
-/// The largest message taken from a peer: a prompt of a million tokens is
-/// about 4 MB; more than this is refused before memory is spent on it.
+/// Limits for messages from peers: larger ones are refused before memory is
+/// allocated for them. A prompt of a million tokens is about 4 MB.
 capnp::ReaderOptions
 MessageLimits()
 {
@@ -79,7 +79,7 @@
   kj::Own<kj::AsyncIoStream> mStream;
   capnp::TwoPartyVatNetwork mNetwork;
   capnp::RpcSystem<capnp::rpc::twoparty::VatId> mRpc;
-  kj::Maybe<kj::Promise<void>> mWatch;
+  kj::Maybe<kj::Promise<void>> mDisconnectWatch;
 
   explicit open_connection(kj::Own<kj::AsyncIoStream> aStream)
     : mStream(kj::mv(aStream))
@@ -119,13 +119,13 @@
       request.setKey(mKey);
       request.setCaller(mCaller);
       std::weak_ptr<open_connection> const watched = mConnection;
-      mConnection->mWatch = mConnection->mNetwork.onDisconnect()
-                              .then([this, watched]() {
-                                if (watched.lock() == mConnection) {
-                                  mNeedsReconnect = true;
-                                }
-                              })
-                              .eagerlyEvaluate(nullptr);
+      mConnection->mDisconnectWatch = mConnection->mNetwork.onDisconnect()
+                                        .then([this, watched]() {
+                                          if (watched.lock() == mConnection) {
+                                            mNeedsReconnect = true;
+                                          }
+                                        })
+                                        .eagerlyEvaluate(nullptr);
       return request.send().then(
         [](capnp::Response<wire::Gate::OpenResults> aAnswer) {
           return aAnswer.getAgent();
@@ -146,7 +146,8 @@
     Open()
       .catch_(
         [this](kj::Exception&& aException) -> kj::Promise<wire::Agent::Client> {
-          // Only marked: the fork must not be destroyed by its own callback.
+          // Only set the flag: the forked promise must not be destroyed by
+          // its own callback.
           mNeedsReconnect = true;
           return kj::mv(aException);
         })
--- a/Libraries/LibWire/Convert.cpp
+++ b/Libraries/LibWire/Convert.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostTokens = 1000000000;
+constexpr std::uint64_t kMaxWireTokens = 1000000000;
 constexpr unsigned kMaxWirePrefixHashes = 32;
 constexpr unsigned kLowestPriority = 3;
 constexpr std::uint64_t kDayInMilliseconds = 86400000;
@@ -36,8 +36,8 @@
   request_shape shape;
   shape.mModel = TextFrom(aQuery.getModel());
   shape.mOrganisation = TextFrom(aQuery.getOrganisation());
-  shape.mPromptTokens = std::min(aQuery.getPromptTokens(), kMostTokens);
-  shape.mMaxTokens = std::min(aQuery.getMaxTokens(), kMostTokens);
+  shape.mPromptTokens = std::min(aQuery.getPromptTokens(), kMaxWireTokens);
+  shape.mMaxTokens = std::min(aQuery.getMaxTokens(), kMaxWireTokens);
   shape.mPriority = std::min<unsigned>(aQuery.getPriority(), kLowestPriority);
   shape.mLong = aQuery.getIsLong();
   const unsigned count =
@@ -89,7 +89,8 @@
 refusal
 FromWire(wire::Refusal aRefusal)
 {
-  // A newer peer may know reasons that we do not; for us it has no room.
+  // A newer peer may send a reason that this version doesn't support; it is
+  // treated as `NoRoom`.
   const unsigned value = static_cast<unsigned>(aRefusal);
   return value > static_cast<unsigned>(refusal::Duplicate)
            ? refusal::NoRoom
