--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -358,7 +358,7 @@
     two_gateways gateways("unsafe", 3);
     gateways.mPool.mOnCrashingRequest =
       [&gateways](endpoint_fixture&, connection&, const http_head&) {
-        gateways.mCallers.back()->Leave();
+        gateways.mCallers.back()->CloseConnection();
       };
     (void)gateways.SendNext(kCrashingBody);
     gateways.mWorld.Until(
@@ -407,7 +407,7 @@
     gateways.mPool.mOnCrashingRequest = [&gateways](endpoint_fixture& aEndpoint,
                                                     connection& aConnection,
                                                     const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       const std::size_t event = gateways.mPool.mSendCount;
       AppendChunk(bytes, "id: " + std::to_string(event) + "\ndata: x\n\n");
       if (gateways.mPool.mCrashCount == kCrashesUntilQuarantine) {
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -45,7 +45,8 @@
 inline void
 AnswerOk(connection& aConnection, const http_head& aHead)
 {
-  aConnection.mChannel->Write(GoodHead(aHead, "Content-Length: 2\r\n") + "ok");
+  aConnection.mChannel->Write(SuccessHead(aHead, "Content-Length: 2\r\n") +
+                              "ok");
   aConnection.Next();
 }
 
@@ -54,7 +55,7 @@
 AnswerLimited(connection& aConnection, const http_head& aHead)
 {
   aConnection.mChannel->Write(
-    GoodHead(aHead, "Server-Limit: 1\r\nContent-Length: 2\r\n") + "ok");
+    SuccessHead(aHead, "Server-Limit: 1\r\nContent-Length: 2\r\n") + "ok");
   aConnection.Next();
 }
 
@@ -70,7 +71,7 @@
 
 /// A gateway with one endpoint of the service "desk" listed. Tests list the
 /// other endpoints themselves.
-struct world : gateway_world
+struct world : gateway_fixture
 {
   world()
     : mDeskEndpoint(mLoop)
--- a/Tests/Gateway/TableSyncTest.cpp
+++ b/Tests/Gateway/TableSyncTest.cpp
@@ -57,7 +57,7 @@
     constexpr duration kPollInterval = milliseconds(800);
     world w;
     w.Start();
-    const std::size_t pollsBefore = w.mStore.Questions("servers");
+    const std::size_t pollsBefore = w.mStore.RequestsForTable("servers");
     const time_point start = w.mLoop.Now();
     for (int i = 0; i < kEndpoints; ++i) {
       w.List("i-" + std::to_string(i), "model", w.mModel.mServer.Address());
@@ -66,7 +66,8 @@
     const double intervals =
       Seconds(w.mLoop.Now() - start) / Seconds(kPollInterval);
     const std::size_t maxPolls = static_cast<std::size_t>(intervals) + 3;
-    CPPUNIT_ASSERT(w.mStore.Questions("servers") - pollsBefore <= maxPolls);
+    CPPUNIT_ASSERT(w.mStore.RequestsForTable("servers") - pollsBefore <=
+                   maxPolls);
     w.Until(
       [&w]() {
         return w.mGateway->Board().mEndpoints.mEndpoints.size() > kEndpoints;
@@ -97,10 +98,10 @@
   {
     world w;
     w.Start();
-    w.mStore.SetMood(standin_store::mood::Silent);
+    w.mStore.SetResponseMode(standin_store::response_mode::Silent);
     w.PutManifest(9, "added");
     w.For(milliseconds(200));
-    w.mStore.SetMood(standin_store::mood::Good);
+    w.mStore.SetResponseMode(standin_store::response_mode::Good);
     w.Until(
       [&w]() {
         return w.mGateway->Board().mManifest->Manifest().mVersion == 9;
@@ -146,7 +147,7 @@
     for (std::size_t i = 0; i < kOtherGateways; ++i) {
       w.mStore.Put("entries", "127.0.1." + std::to_string(i + 1), "entry");
     }
-    w.mStore.SetPage(3);
+    w.mStore.SetPageSize(3);
     w.Start();
     w.Until([&w]() { return w.mGateway->Board().mGatewaysLoaded; },
             "the table");
@@ -199,7 +200,7 @@
     w.Until(
       [&second]() { return second->Board().mLedger.mPlacements.size() == 1; },
       "the placement of the first entry");
-    w.mCallers.back()->Leave();
+    w.mCallers.back()->CloseConnection();
     w.Until([&second]() { return second->Board().mLedger.mPlacements.empty(); },
             "its end");
   }
