--- a/Tests/EndToEnd/Fleet.cpp
+++ b/Tests/EndToEnd/Fleet.cpp
@@ -16,12 +16,12 @@
 
 constexpr const char* kCallerKey = "test-caller-key";
 constexpr const char* kOperatorKey = "test-operator-key";
-constexpr duration kPause = std::chrono::milliseconds(20);
-constexpr int kLooks = 3000; ///< A minute of pauses.
+constexpr duration kPollInterval = std::chrono::milliseconds(20);
+constexpr int kMaxPolls = 3000; ///< One minute at kPollInterval.
 
-/// Fast engines, so that tests take no longer than they must.
+/// Returns the settings tree, with fast engines to keep the tests short.
 json
-Tree()
+MakeSettingsTree()
 {
   return {
     { "values",
@@ -45,8 +45,9 @@
   gchar* const folder = g_dir_make_tmp("primrose-XXXXXX", nullptr);
   mFolder = folder;
   g_free(folder);
-  std::ofstream(mFolder + "/tree.json") << Tree().dump();
-  const auto standIn = [&](const std::string& aName, const std::string& aFace) {
+  std::ofstream(mFolder + "/tree.json") << MakeSettingsTree().dump();
+  const auto startStandIn = [&](const std::string& aName,
+                                const std::string& aRole) {
     WriteSettings(aName,
                   { { "name", aName },
                     { "http", "127.0.0.1:0" },
@@ -54,28 +55,28 @@
                     { "serves", "model" },
                     { "address_file", aName + ".address" } });
     Start(aName,
-          { "primrose-standin", "--face", aFace, "--list-lag-ms", "100" });
+          { "primrose-standin", "--face", aRole, "--list-lag-ms", "100" });
   };
-  standIn("platform", "platform");
+  startStandIn("platform", "platform");
   for (int i = 1; i <= aSize.mEngines; ++i) {
-    standIn(fmt::format("engine-{}", i), "engine");
+    startStandIn(fmt::format("engine-{}", i), "engine");
     StartAgent(fmt::format("agent-{}", i), fmt::format("engine-{}", i), true);
   }
   for (int i = 1; i <= aSize.mServices; ++i) {
-    standIn(fmt::format("service-{}", i), "service");
+    startStandIn(fmt::format("service-{}", i), "service");
     StartAgent(
       fmt::format("desk-agent-{}", i), fmt::format("service-{}", i), false);
   }
   for (int i = 1; i <= aSize.mEntries; ++i) {
     const std::string name = fmt::format("entry-{}", i);
-    WriteSettings(name, NodeSettings(name));
+    WriteSettings(name, MakeNodeSettings(name));
     Start(name, { "primrose-entry" });
   }
   const std::size_t agents = static_cast<std::size_t>(aSize.mEngines) +
                              static_cast<std::size_t>(aSize.mServices);
   for (int i = 1; i <= aSize.mEntries; ++i) {
     const std::string name = fmt::format("entry-{}", i);
-    Until("the entry knows all endpoints", [&]() {
+    WaitUntil("the entry has discovered all endpoints", [&]() {
       return GetJson(name, "/status")["endpoints"].size() == agents;
     });
   }
@@ -94,7 +95,7 @@
 }
 
 json
-fleet::NodeSettings(const std::string& aName) const
+fleet::MakeNodeSettings(const std::string& aName) const
 {
   return { { "name", aName },
            { "http", "127.0.0.1:0" },
@@ -118,7 +119,7 @@
                   const std::string& aStandIn,
                   bool aIsEngine)
 {
-  json settings = NodeSettings(aName);
+  json settings = MakeNodeSettings(aName);
   settings["rpc"] = "127.0.0.1:0";
   settings["endpoint"] = Address(aStandIn);
   settings["endpoint_kind"] = aIsEngine ? "engine" : "service";
@@ -126,20 +127,20 @@
   WriteSettings(aName, settings);
   Start(aName, { "primrose-agent" });
   if (aIsEngine) {
-    Until("the agent is ready",
-          [&]() { return Get(aName, "/readyz").mStatus == 200; });
+    WaitUntil("the agent is ready",
+              [&]() { return Get(aName, "/readyz").mStatus == 200; });
   }
-  ListVm(aName,
-         aIsEngine ? "engine" : "service",
-         aIsEngine ? "model" : "desk",
-         Address(aName, "rpc"));
+  RegisterVm(aName,
+             aIsEngine ? "engine" : "service",
+             aIsEngine ? "model" : "desk",
+             Address(aName, "rpc"));
 }
 
 void
-fleet::ListVm(const std::string& aName,
-              const std::string& aKind,
-              const std::string& aServes,
-              const std::string& aAddress)
+fleet::RegisterVm(const std::string& aName,
+                  const std::string& aKind,
+                  const std::string& aServes,
+                  const std::string& aAddress)
 {
   const listed_endpoint listed{ aName,    aAddress, aServes,
                                 "region", "centre", *VmKindNamed(aKind),
@@ -160,26 +161,26 @@
   aCommand[0] = std::string(PRIMROSE_BIN) + "/" + aCommand[0];
   aCommand.insert(aCommand.end(),
                   { "--settings", mFolder + "/" + aName + ".json" });
-  std::vector<const char*> words;
-  words.reserve(aCommand.size() + 1);
-  for (const std::string& word : aCommand) {
-    words.push_back(word.c_str());
+  std::vector<const char*> arguments;
+  arguments.reserve(aCommand.size() + 1);
+  for (const std::string& argument : aCommand) {
+    arguments.push_back(argument.c_str());
   }
-  words.push_back(nullptr);
+  arguments.push_back(nullptr);
   GError* error = nullptr;
-  one.mHandle =
-    g_subprocess_newv(words.data(), G_SUBPROCESS_FLAGS_STDERR_SILENCE, &error);
+  one.mHandle = g_subprocess_newv(
+    arguments.data(), G_SUBPROCESS_FLAGS_STDERR_SILENCE, &error);
   CPPUNIT_ASSERT_MESSAGE(error == nullptr ? "" : error->message,
                          one.mHandle != nullptr);
-  Until(aName + " listens", [&]() {
-    std::ifstream read(file);
-    one.mAddresses = json::parse(read, nullptr, false);
+  WaitUntil(aName + " listens", [&]() {
+    std::ifstream addressFile(file);
+    one.mAddresses = json::parse(addressFile, nullptr, false);
     return one.mAddresses.is_object();
   });
 }
 
 void
-fleet::Replace(const std::string& aName)
+fleet::KillAndReplace(const std::string& aName)
 {
   process& old = mProcesses.at(aName);
   g_subprocess_force_exit(old.mHandle);
@@ -187,7 +188,7 @@
   g_object_unref(old.mHandle);
   const std::vector<std::string> command = old.mCommand;
   Start(aName, command);
-  ListVm(aName, "engine", "model", Address(aName, "rpc"));
+  RegisterVm(aName, "engine", "model", Address(aName, "rpc"));
 }
 
 void
@@ -197,11 +198,11 @@
 }
 
 int
-fleet::ExitCode(const std::string& aName)
+fleet::WaitForExitCode(const std::string& aName)
 {
   GSubprocess* const handle = mProcesses.at(aName).mHandle;
-  Until(aName + " ends",
-        [&]() { return g_subprocess_get_identifier(handle) == nullptr; });
+  WaitUntil(aName + " ends",
+            [&]() { return g_subprocess_get_identifier(handle) == nullptr; });
   return g_subprocess_get_if_exited(handle)
            ? g_subprocess_get_exit_status(handle)
            : -1;
@@ -216,8 +217,8 @@
 http_response
 fleet::Send(http_request aRequest)
 {
-  constexpr duration kLimit = std::chrono::seconds(60);
-  return WithTimeout(mHttp.Send(std::move(aRequest)), kLimit)
+  constexpr duration kSendTimeout = std::chrono::seconds(60);
+  return WithTimeout(mHttp.Send(std::move(aRequest)), kSendTimeout)
     .wait(mLoop.Scope());
 }
 
@@ -236,7 +237,7 @@
 }
 
 void
-fleet::Fault(const std::string& aName, const json& aFaults)
+fleet::InjectFaults(const std::string& aName, const json& aFaults)
 {
   http_request request{ "POST", "http://" + Address(aName) + "/faults" };
   request.mBody = aFaults.dump();
@@ -263,7 +264,7 @@
 }
 
 http_request
-fleet::Guarded(int aEntry, const std::string& aKey) const
+fleet::GuardedCall(int aEntry, const std::string& aKey) const
 {
   http_request request{ "POST",
                         fmt::format("http://{}/services/desk/check-in",
@@ -275,22 +276,24 @@
 }
 
 void
-fleet::Until(const std::string& aWhat, const std::function<bool()>& aHolds)
+fleet::WaitUntil(const std::string& aDescription,
+                 const std::function<bool()>& aCondition)
 {
-  for (int look = 0; look < kLooks; ++look) {
-    bool holds = false;
+  for (int poll = 0; poll < kMaxPolls; ++poll) {
+    bool satisfied = false;
     try {
-      holds = aHolds();
+      satisfied = aCondition();
     } catch (const kj::Exception&) {
-      // Whoever is asked may be starting or just killed; asked again.
+      // The process may be starting or just killed; the condition is polled
+      // again.
     } catch (const json::exception&) {
     }
-    if (holds) {
+    if (satisfied) {
       return;
     }
-    Sleep(kPause);
+    Sleep(kPollInterval);
   }
-  CPPUNIT_FAIL("waited in vain: " + aWhat);
+  CPPUNIT_FAIL("condition not met within a minute: " + aDescription);
 }
 
 void
@@ -300,7 +303,7 @@
 }
 
 std::vector<std::string>
-EventsOf(const std::string& aBody)
+ParseEventData(const std::string& aBody)
 {
   sse_parser parser;
   const outcome<std::vector<std::string>> events =
@@ -309,7 +312,7 @@
 }
 
 std::string
-TextOf(const std::vector<std::string>& aEvents)
+JoinCompletionText(const std::vector<std::string>& aEvents)
 {
   std::string text;
   for (const std::string& data : aEvents) {
@@ -323,7 +326,7 @@
 }
 
 std::string
-PromptOf(std::size_t aTokens, const std::string& aSeed)
+MakePrompt(std::size_t aTokens, const std::string& aSeed)
 {
   std::string prompt = aSeed;
   while (prompt.size() < aTokens * 4) {
--- a/Tests/EndToEnd/Fleet.h
+++ b/Tests/EndToEnd/Fleet.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// A small fleet of the real programs on loopback, for tests that kill, pause
-/// and cut. Ports are picked by the system; everything ends with the object.
+/// Runs a small fleet of the real programs on loopback, for tests that kill and
+/// pause processes or cut connections. The system picks the ports. All
+/// processes end with the fleet object.
 
 #include "LibDaemon/LibDaemon.h"
 #include "LibHttp/LibHttp.h"
@@ -29,30 +30,33 @@
   fleet(const fleet&) = delete;
   fleet& operator=(const fleet&) = delete;
 
-  /// The address under which a process wrote this member of its address file.
+  /// Returns an address of a process: the member aMember of the address file
+  /// that the process wrote.
   std::string Address(const std::string& aName,
                       const std::string& aMember = "http") const;
   void Signal(const std::string& aName, int aSignal);
-  /// Starts the process again with its old settings but new ports, under a
-  /// new name in the platform's list, as a VM that was replaced.
-  void Replace(const std::string& aName);
-  /// The exit code of a process that is expected to end.
-  int ExitCode(const std::string& aName);
+  /// Kills the process and starts it again with the same settings on new ports,
+  /// as when a VM is replaced. Updates its address in the platform's list.
+  void KillAndReplace(const std::string& aName);
+  /// Waits until the process ends and returns its exit code, or -1 if a signal
+  /// ended it.
+  int WaitForExitCode(const std::string& aName);
 
   http_response Send(http_request aRequest);
   http_response Get(const std::string& aName, const std::string& aPath);
   json GetJson(const std::string& aName, const std::string& aPath);
-  void Fault(const std::string& aName, const json& aFaults);
+  void InjectFaults(const std::string& aName, const json& aFaults);
 
   http_request Completion(int aEntry,
                           const std::string& aPrompt,
                           int aOutput,
                           bool aStream) const;
-  http_request Guarded(int aEntry, const std::string& aKey) const;
+  http_request GuardedCall(int aEntry, const std::string& aKey) const;
 
-  /// Waits until the condition holds; fails the test after a minute, which no
-  /// verdict depends on: it only bounds a run that hangs.
-  void Until(const std::string& aWhat, const std::function<bool()>& aHolds);
+  /// Waits until the condition holds and fails the test after a minute. The
+  /// minute only bounds a test that hangs; no test checks a time by it.
+  void WaitUntil(const std::string& aDescription,
+                 const std::function<bool()>& aCondition);
   void Sleep(duration aTime);
   main_loop& Loop() { return mLoop; }
   http_client& Http() { return mHttp; }
@@ -71,11 +75,11 @@
   void StartAgent(const std::string& aName,
                   const std::string& aStandIn,
                   bool aIsEngine);
-  void ListVm(const std::string& aName,
-              const std::string& aKind,
-              const std::string& aServes,
-              const std::string& aAddress);
-  json NodeSettings(const std::string& aName) const;
+  void RegisterVm(const std::string& aName,
+                  const std::string& aKind,
+                  const std::string& aServes,
+                  const std::string& aAddress);
+  json MakeNodeSettings(const std::string& aName) const;
 
   main_loop& mLoop;
   http_client mHttp;
@@ -83,14 +87,17 @@
   std::map<std::string, process> mProcesses;
 };
 
-/// The data of all events of a stream's body.
+/// Returns the data fields of all server-sent events in the body of a stream.
 std::vector<std::string>
-EventsOf(const std::string& aBody);
-/// The text that the events of a whole answer carry.
+ParseEventData(const std::string& aBody);
+/// Joins the completion text that the events of an answer carry.
 std::string
-TextOf(const std::vector<std::string>& aEvents);
+JoinCompletionText(const std::vector<std::string>& aEvents);
+/// Makes a prompt of aTokens tokens (four characters each) that starts with
+/// aSeed and is unique to it.
 std::string
-PromptOf(std::size_t aTokens, const std::string& aSeed);
+MakePrompt(std::size_t aTokens, const std::string& aSeed);
+/// Return the members "kind" and "ran" of an error answer, or "" if absent.
 std::string
 ErrorKind(const http_response& aResponse);
 std::string
