--- a/Tests/Gateway/Standin.cpp
+++ b/Tests/Gateway/Standin.cpp
@@ -15,7 +15,7 @@
 constexpr channel_limits kNoLimits{};
 
 std::string
-Encoded(const std::string& aText)
+EncodeBase64(const std::string& aText)
 {
   gchar* const text = g_base64_encode(
     reinterpret_cast<const guchar*>(aText.data()), aText.size());
@@ -25,7 +25,7 @@
 }
 
 std::string
-Decoded(const std::string& aText)
+DecodeUri(const std::string& aText)
 {
   gchar* const text = g_uri_unescape_string(aText.c_str(), nullptr);
   std::string decoded = text;
@@ -34,7 +34,7 @@
 }
 
 std::string
-Parameter(const std::string& aTarget, const std::string& aName)
+QueryParameter(const std::string& aTarget, const std::string& aName)
 {
   const std::size_t at = aTarget.find(aName + "=");
   if (at == std::string::npos) {
@@ -117,7 +117,7 @@
     one->mChannel->Close();
     one->mEnded = true;
   }
-  // It may be what calls this.
+  // End() may be called from a callback of the listener.
   mLoop.DeleteLater(std::move(mListener));
 }
 
@@ -132,11 +132,11 @@
 }
 
 void
-standin_store::Keep(const std::string& aTable,
-                    const std::string& aKey,
-                    row aRow)
+standin_store::StoreRow(const std::string& aTable,
+                        const std::string& aKey,
+                        row aRow)
 {
-  // Older changes are asked for by nobody but an entry that was away for long.
+  // Only a gateway that was paused or cut off for long requests older changes.
   constexpr std::size_t kMaxHistoryLength = 4096;
   mRows[{ aTable, aKey }] = aRow;
   mHistory.push_back({ aTable, aKey, std::move(aRow) });
@@ -152,15 +152,15 @@
                    const std::string& aKey,
                    const std::string& aValue)
 {
-  Keep(aTable, aKey, { aValue, ++mRevision, false });
-  AnswerPolls();
+  StoreRow(aTable, aKey, { aValue, ++mRevision, false });
+  AnswerLongPolls();
 }
 
 void
 standin_store::Remove(const std::string& aTable, const std::string& aKey)
 {
-  Keep(aTable, aKey, { "", ++mRevision, true });
-  AnswerPolls();
+  StoreRow(aTable, aKey, { "", ++mRevision, true });
+  AnswerLongPolls();
 }
 
 void
@@ -168,9 +168,9 @@
 {
   mOldestKnownRevision = ++mRevision;
   mHistory.clear();
-  std::vector<poll> waiting;
-  waiting.swap(mPolls);
-  for (const poll& one : waiting) {
+  std::vector<long_poll> waiting;
+  waiting.swap(mLongPolls);
+  for (const long_poll& one : waiting) {
     one.mConnection->mChannel->Close();
   }
 }
@@ -179,7 +179,7 @@
 standin_store::StopAnswering()
 {
   mResponseMode = response_mode::Silent;
-  mPolls.clear();
+  mLongPolls.clear();
 }
 
 void
@@ -193,7 +193,7 @@
 standin_store::Has(const std::string& aTable, const std::string& aKey) const
 {
   const auto found = mRows.find({ aTable, aKey });
-  return found != mRows.end() && !found->second.mGone;
+  return found != mRows.end() && !found->second.mDeleted;
 }
 
 std::size_t
@@ -213,26 +213,26 @@
 namespace {
 
 json
-RowText(const std::string& aTable,
-        const std::string& aKey,
-        const std::string& aValue,
-        std::uint64_t aRevision,
-        bool aGone)
+MakeRowJson(const std::string& aTable,
+            const std::string& aKey,
+            const std::string& aValue,
+            std::uint64_t aRevision,
+            bool aDeleted)
 {
   json one = { { "table", aTable },
                { "part", "" },
                { "key", aKey },
                { "schema_ver", aRevision } };
-  if (aGone) {
+  if (aDeleted) {
     one["deleted"] = true;
   } else {
-    one["value"] = Encoded(aValue);
+    one["value"] = EncodeBase64(aValue);
   }
   return one;
 }
 
 std::string
-AnswerText(const json& aRows, std::uint64_t aRevision, bool aTruncated)
+MakeRowsAnswer(const json& aRows, std::uint64_t aRevision, bool aTruncated)
 {
   const json body = { { "rows", aRows },
                       { "truncated", aTruncated },
@@ -244,12 +244,12 @@
 } // namespace
 
 std::string
-standin_store::Whole(const std::string& aTable, const std::string& aFrom)
+standin_store::ReadTable(const std::string& aTable, const std::string& aFrom)
 {
   json rows = json::array();
   bool truncated = false;
-  for (const auto& [name, held] : mRows) {
-    if (name.first != aTable || held.mGone || name.second < aFrom) {
+  for (const auto& [name, stored] : mRows) {
+    if (name.first != aTable || stored.mDeleted || name.second < aFrom) {
       continue;
     }
     truncated = rows.size() == mPageSize;
@@ -257,16 +257,16 @@
       break;
     }
     rows.push_back(
-      RowText(aTable, name.second, held.mValue, held.mRevision, false));
+      MakeRowJson(aTable, name.second, stored.mValue, stored.mRevision, false));
   }
   mRowsSentByTable[aTable] += rows.size();
-  return AnswerText(rows, mRevision, truncated);
+  return MakeRowsAnswer(rows, mRevision, truncated);
 }
 
 std::string
-standin_store::Changes(const std::string& aTable, std::uint64_t aAfter)
+standin_store::ReadChanges(const std::string& aTable, std::uint64_t aAfter)
 {
-  constexpr std::size_t kMostBytes = std::size_t{ 1024 } * 1024;
+  constexpr std::size_t kMaxAnswerBytes = std::size_t{ 1024 } * 1024;
   json rows = json::array();
   std::size_t bytes = 0;
   std::uint64_t revision = mRevision;
@@ -275,22 +275,26 @@
       continue;
     }
     bytes += one.mRow.mValue.size();
-    if (bytes > kMostBytes && !rows.empty()) {
+    if (bytes > kMaxAnswerBytes && !rows.empty()) {
       revision = rows.back().at("schema_ver").get<std::uint64_t>();
       break;
     }
-    rows.push_back(RowText(
-      aTable, one.mKey, one.mRow.mValue, one.mRow.mRevision, one.mRow.mGone));
+    rows.push_back(MakeRowJson(aTable,
+                               one.mKey,
+                               one.mRow.mValue,
+                               one.mRow.mRevision,
+                               one.mRow.mDeleted));
   }
   if (rows.empty()) {
     return "";
   }
   mRowsSentByTable[aTable] += rows.size();
-  return AnswerText(rows, revision, false);
+  return MakeRowsAnswer(rows, revision, false);
 }
 
 std::shared_ptr<standin_server::connection>
-standin_store::Shared(const standin_server::connection& aConnection) const
+standin_store::FindConnection(
+  const standin_server::connection& aConnection) const
 {
   for (const std::shared_ptr<standin_server::connection>& one :
        mServer.Connections()) {
@@ -315,9 +319,9 @@
     aConnection.Next();
     return;
   }
-  mThrottledAnswers.push_back({ Shared(aConnection), text });
-  if (!mSending) {
-    mSending = true;
+  mThrottledAnswers.push_back({ FindConnection(aConnection), text });
+  if (!mSlicesScheduled) {
+    mSlicesScheduled = true;
     SendSlices();
   }
 }
@@ -328,21 +332,21 @@
   for (throttled_answer& one : mThrottledAnswers) {
     if (one.mConnection->mEnded) {
       ++mAbortedAnswers;
-      one.mRest.clear();
+      one.mUnsent.clear();
       continue;
     }
-    const std::size_t size = std::min(mSliceBytes, one.mRest.size());
-    one.mConnection->mChannel->Write(one.mRest.substr(0, size));
-    one.mRest.erase(0, size);
-    if (one.mRest.empty()) {
+    const std::size_t size = std::min(mSliceBytes, one.mUnsent.size());
+    one.mConnection->mChannel->Write(one.mUnsent.substr(0, size));
+    one.mUnsent.erase(0, size);
+    if (one.mUnsent.empty()) {
       one.mConnection->Next();
     }
   }
   std::erase_if(mThrottledAnswers, [](const throttled_answer& aOne) {
-    return aOne.mRest.empty();
+    return aOne.mUnsent.empty();
   });
-  mSending = !mThrottledAnswers.empty();
-  if (mSending) {
+  mSlicesScheduled = !mThrottledAnswers.empty();
+  if (mSlicesScheduled) {
     (void)mLoop.After(mSliceEvery, [this]() { SendSlices(); });
   }
 }
@@ -354,7 +358,7 @@
 {
   ++mCalls;
   const std::string path = aHead.mTarget.substr(0, aHead.mTarget.find('?'));
-  const std::string table = Parameter(aHead.mTarget, "table");
+  const std::string table = QueryParameter(aHead.mTarget, "table");
   ++mRequestsByTable[table];
   if (mResponseMode == response_mode::Silent) {
     return;
@@ -366,7 +370,7 @@
   if (path == "/rows-get") {
     Answer(aConnection,
            200,
-           Whole(table, Decoded(Parameter(aHead.mTarget, "from"))));
+           ReadTable(table, DecodeUri(QueryParameter(aHead.mTarget, "from"))));
     return;
   }
   if (path == "/rows-tx") {
@@ -375,13 +379,14 @@
            R"({"schema_ver":1,"now_ms":1})");
     return;
   }
-  const std::uint64_t after = std::stoull(Parameter(aHead.mTarget, "after"));
+  const std::uint64_t after =
+    std::stoull(QueryParameter(aHead.mTarget, "after"));
   if (after < mOldestKnownRevision) {
     Answer(aConnection, 410, "{}");
     return;
   }
-  mPolls.push_back({ Shared(aConnection), table, after });
-  AnswerPolls();
+  mLongPolls.push_back({ FindConnection(aConnection), table, after });
+  AnswerLongPolls();
 }
 
 bool
@@ -389,37 +394,39 @@
 {
   const json change = json::parse(aBody);
   for (const json& one : change.at("expected_rev")) {
-    const auto held = mRows.find({ one.at("table"), one.at("key") });
+    const auto stored = mRows.find({ one.at("table"), one.at("key") });
     const std::uint64_t revision =
-      held == mRows.end() || held->second.mGone ? 0 : held->second.mRevision;
+      stored == mRows.end() || stored->second.mDeleted
+        ? 0
+        : stored->second.mRevision;
     if (revision != one.at("schema_ver").get<std::uint64_t>()) {
       return false;
     }
   }
   for (const json& one : change.at("puts")) {
-    Keep(one.at("table"), one.at("key"), { "x", ++mRevision, false });
+    StoreRow(one.at("table"), one.at("key"), { "x", ++mRevision, false });
   }
   for (const json& one : change.at("remove")) {
-    Keep(one.at("table"), one.at("key"), { "", ++mRevision, true });
+    StoreRow(one.at("table"), one.at("key"), { "", ++mRevision, true });
   }
   return true;
 }
 
 void
-standin_store::AnswerPolls()
+standin_store::AnswerLongPolls()
 {
   if (mResponseMode != response_mode::Good) {
     return;
   }
-  std::vector<poll> waiting;
-  waiting.swap(mPolls);
-  for (const poll& one : waiting) {
+  std::vector<long_poll> waiting;
+  waiting.swap(mLongPolls);
+  for (const long_poll& one : waiting) {
     if (one.mConnection->mEnded) {
       continue;
     }
-    const std::string changes = Changes(one.mTable, one.mAfter);
+    const std::string changes = ReadChanges(one.mTable, one.mAfter);
     if (changes.empty()) {
-      mPolls.push_back(one);
+      mLongPolls.push_back(one);
     } else {
       Answer(*one.mConnection, 200, changes);
     }
@@ -431,23 +438,23 @@
 {
 }
 
-standin_caller::standin_caller(event_loop& aLoop, const ip_address& aEntry)
-  : mChannel(std::make_shared<tcp_channel>(aLoop, aEntry, kNoLimits))
+standin_caller::standin_caller(event_loop& aLoop, const ip_address& aGateway)
+  : mChannel(std::make_shared<tcp_channel>(aLoop, aGateway, kNoLimits))
 {
   mChannel->SetOwner(this);
 }
 
 namespace {
 
-struct parsed
+struct parsed_answer
 {
   read_state mState = read_state::Head;
   http_head mHead;
   std::string mBody;
 };
 
-parsed
-Parse(std::string aBytes, bool aEnded)
+parsed_answer
+ParseAnswer(std::string aBytes, bool aEnded)
 {
   http_reader reader(http_role::Answer, http_limits{});
   (void)reader.Read(aBytes);
@@ -462,25 +469,25 @@
 bool
 standin_caller::Answered() const
 {
-  return Parse(ReceivedBytes(), mEnded).mState == read_state::Complete;
+  return ParseAnswer(ReceivedBytes(), mEnded).mState == read_state::Complete;
 }
 
 unsigned
 standin_caller::Status() const
 {
-  return Parse(ReceivedBytes(), mEnded).mHead.mStatus;
+  return ParseAnswer(ReceivedBytes(), mEnded).mHead.mStatus;
 }
 
 std::string
 standin_caller::Body() const
 {
-  return Parse(ReceivedBytes(), mEnded).mBody;
+  return ParseAnswer(ReceivedBytes(), mEnded).mBody;
 }
 
 std::optional<std::string>
 standin_caller::Field(std::string_view aName) const
 {
-  const parsed answer = Parse(ReceivedBytes(), mEnded);
+  const parsed_answer answer = ParseAnswer(ReceivedBytes(), mEnded);
   const std::optional<std::string_view> value =
     FieldValue(answer.mHead.mFields, aName);
   if (!value.has_value()) {
@@ -507,8 +514,8 @@
 gateway_fixture::Until(const std::function<bool()>& aCondition,
                        const std::string& aWhat)
 {
-  constexpr duration kGenerous = std::chrono::seconds(60);
-  const time_point end = mLoop.Now() + kGenerous;
+  constexpr duration kWaitLimit = std::chrono::seconds(60);
+  const time_point end = mLoop.Now() + kWaitLimit;
   while (!aCondition()) {
     CPPUNIT_ASSERT_MESSAGE(aWhat, mLoop.Now() < end);
     timer_id wake = mLoop.After(std::chrono::milliseconds(5), []() {});
@@ -584,7 +591,7 @@
     routes.push_back(one);
   };
   add("safe", "safe", "desk", 2, false);
-  // More than one attempt is allowed, and yet it may not run twice.
+  // The route allows a second attempt, but a call on it must not run twice.
   add("unsafe", "unsafe", "desk", 2, false);
   add("stream", "stream", "model", 2, true);
   if (!aExtra.empty()) {
@@ -593,7 +600,7 @@
   for (std::size_t i = 0; i < aMoreRoutes; ++i) {
     add("more-" + std::to_string(i), "safe", "desk", 2, false);
   }
-  // Routes without an objective or a time limit of their own.
+  // Routes without a latency target or a time limit of their own.
   add("unhurried", "safe", "desk", 2, false);
   add("unhurried-stream", "stream", "model", 2, true);
   for (json& one : routes) {
@@ -640,7 +647,7 @@
 
 namespace {
 
-/// True if nothing has the port, for connections or for datagrams.
+/// Returns true if the port is free on 127.0.0.1 for both TCP and UDP.
 bool
 IsFree(event_loop& aLoop, std::uint16_t aPort)
 {
@@ -684,7 +691,7 @@
              mGateway->Board().mEndpointsKnown &&
              mGateway->Board().mQuarantineKnown;
     },
-    "the manifest, the list and what is held are read");
+    "the manifest, the endpoint list and the quarantine table are read");
 }
 
 std::string
--- a/Tests/Gateway/Standin.h
+++ b/Tests/Gateway/Standin.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// Stand-ins for the users' platform, in the test's own process and on its
-/// loop: a store, endpoints that behave as a test says, and callers.
+/// event loop: a store, endpoints whose behaviour the test defines, and
+/// callers.
 
 #include "platform/Platform.h"
 
@@ -10,7 +11,8 @@
 
 namespace primrose::test {
 
-/// A server of HTTP whose every answer is written by the test.
+/// An HTTP server that passes each request to a handler of the test, which
+/// writes the answer.
 class standin_server
 {
 public:
@@ -19,7 +21,7 @@
     connection(standin_server& aServer, event_loop& aLoop, int aSocket);
     void OnInput(tcp_channel& aChannel) override;
     void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
-    /// Makes ready for the next request on the connection.
+    /// Starts reading the next request on the connection.
     void Next();
 
     standin_server& mServer;
@@ -36,9 +38,10 @@
   {
     return mConnections;
   }
-  /// Connections that the other side has closed.
+  /// Returns the number of connections that have ended, closed by the other
+  /// side or by End().
   std::size_t Ended() const;
-  /// The process ends: its connections close, and new ones are refused.
+  /// Closes all connections and refuses new ones, as a process that exits.
   void End();
 
   event_loop& mLoop;
@@ -49,8 +52,8 @@
   std::vector<std::shared_ptr<connection>> mConnections;
 };
 
-/// The platform's store: rows with revisions and a feed of changes, in which
-/// each version of a row comes that there was.
+/// The platform's store: rows with revisions, and a feed of changes that
+/// contains each version of a row.
 class standin_store
 {
 public:
@@ -66,22 +69,26 @@
            const std::string& aKey,
            const std::string& aValue);
   void Remove(const std::string& aTable, const std::string& aKey);
-  /// Forgets which rows changed: the next question about changes fails.
+  /// Drops the history of changes and closes open long polls. The next request
+  /// for changes after an earlier revision gets status 410.
   void LoseHistory();
   void SetResponseMode(response_mode aMood) { mResponseMode = aMood; }
-  /// Nothing is answered any more, the questions that are open included, and
-  /// no connection ends: what a path looks like that was cut.
+  /// Leaves all requests unanswered, open long polls included, and closes no
+  /// connection, as when the network path is cut. Lasts until the response mode
+  /// is set again; the open long polls stay unanswered.
   void StopAnswering();
-  /// At most so many rows in one answer of a whole reading.
+  /// Limits the rows in one answer of a full read.
   void SetPageSize(std::size_t aRows) { mPageSize = aRows; }
-  /// From now on answers go out in slices, as over a narrow link.
+  /// Sends later answers in slices of aSliceBytes each aEvery, as over a narrow
+  /// link.
   void ThrottleAnswers(std::size_t aSliceBytes, duration aEvery);
   std::size_t Calls() const { return mCalls; }
-  /// RequestsForTable about a table, answered or not.
+  /// Returns the number of requests for a table, answered or not.
   std::size_t RequestsForTable(const std::string& aTable) const;
-  /// Rows of a table that were handed out in answers.
+  /// Returns the number of rows of a table that were sent in answers.
   std::size_t RowsSentFromTable(const std::string& aTable) const;
-  /// Answers of which a part had gone out when the other side left.
+  /// Returns the number of answers during which the other side closed the
+  /// connection. Only throttled answers are counted.
   std::size_t AbortedAnswers() const { return mAbortedAnswers; }
   bool Has(const std::string& aTable, const std::string& aKey) const;
 
@@ -90,9 +97,9 @@
   {
     std::string mValue;
     std::uint64_t mRevision = 0;
-    bool mGone = false;
+    bool mDeleted = false;
   };
-  struct poll
+  struct long_poll
   {
     std::shared_ptr<standin_server::connection> mConnection;
     std::string mTable;
@@ -110,20 +117,21 @@
   struct throttled_answer
   {
     std::shared_ptr<standin_server::connection> mConnection;
-    std::string mRest;
+    std::string mUnsent;
   };
-  void Keep(const std::string& aTable, const std::string& aKey, row aRow);
-  /// Changes rows if all are as the change expects them.
+  void StoreRow(const std::string& aTable, const std::string& aKey, row aRow);
+  /// Applies a transaction if all rows have the revisions that it expects.
+  /// Returns whether it was applied.
   bool Transact(const std::string& aBody);
-  std::string Whole(const std::string& aTable, const std::string& aFrom);
-  /// Changes of a table after a revision; empty if there are none.
-  std::string Changes(const std::string& aTable, std::uint64_t aAfter);
+  std::string ReadTable(const std::string& aTable, const std::string& aFrom);
+  /// Returns the changes of a table after a revision, or "" if there are none.
+  std::string ReadChanges(const std::string& aTable, std::uint64_t aAfter);
   void Answer(standin_server::connection& aConnection,
               unsigned aStatus,
               const std::string& aBody);
-  void AnswerPolls();
+  void AnswerLongPolls();
   void SendSlices();
-  std::shared_ptr<standin_server::connection> Shared(
+  std::shared_ptr<standin_server::connection> FindConnection(
     const standin_server::connection& aConnection) const;
 
   event_loop& mLoop;
@@ -136,27 +144,28 @@
   std::size_t mSliceBytes = 0;
   duration mSliceEvery{};
   std::size_t mAbortedAnswers = 0;
-  bool mSending = false;
+  bool mSlicesScheduled = false;
   std::uint64_t mRevision = 10;
   std::uint64_t mOldestKnownRevision = 0;
-  std::vector<poll> mPolls;
+  std::vector<long_poll> mLongPolls;
   response_mode mResponseMode = response_mode::Good;
   std::size_t mCalls = 0;
   standin_server mServer;
 };
 
-/// A caller's connection: what it was sent, and how it ended.
+/// A caller's connection to a gateway. Keeps what it received and whether the
+/// connection has ended.
 class standin_caller final : public channel_owner
 {
 public:
   standin_caller(event_loop& aLoop, std::uint16_t aPort);
-  standin_caller(event_loop& aLoop, const ip_address& aEntry);
+  standin_caller(event_loop& aLoop, const ip_address& aGateway);
   void Send(const std::string& aBytes) { mChannel->Write(aBytes); }
   void CloseConnection() { mChannel->Close(); }
   void StopReading(bool aStopped) { mChannel->PauseReading(aStopped); }
   const std::string& ReceivedBytes() const { return mChannel->Input(); }
   bool Ended() const { return mEnded; }
-  /// True once a whole answer stands in what was seen.
+  /// Returns true once a complete answer has been received.
   bool Answered() const;
   unsigned Status() const;
   std::string Body() const;
@@ -170,16 +179,16 @@
   bool mEnded = false;
 };
 
-/// Ports that the system never gives to outgoing connections: a process that
-/// starts again has to find its port free.
+/// Range of ports that the system never assigns to outgoing connections, so
+/// that a process that restarts finds its port free.
 inline constexpr std::uint16_t kFirstPort = 10000;
 inline constexpr std::uint16_t kLastPort = 32000;
 
-/// A port that is free on the loopback addresses.
+/// Returns a port that is free on 127.0.0.1 for both TCP and UDP.
 std::uint16_t
 FreePort(event_loop& aLoop);
 
-/// Registers an endpoint of a service under an id.
+/// Adds or updates an endpoint in the store's list of endpoints.
 void
 ListEndpoint(standin_store& aStore,
              const std::string& aId,
@@ -187,31 +196,33 @@
              const ip_address& aAddress,
              const std::string& aState);
 
-/// Writes a manifest with routes of each kind, one of them named by `aExtra`,
-/// and so many besides, of some 220 bytes each.
+/// Writes a manifest with routes of each kind. If `aExtra` isn't empty, adds a
+/// safe route of this name. Adds `aMoreRoutes` further safe routes, of some 220
+/// bytes each.
 void
 WriteManifest(standin_store& aStore,
               std::uint64_t aVersion,
               const std::string& aExtra,
               std::size_t aMoreRoutes = 0);
 
-/// A request's bytes; `aKind` is the path's first part.
+/// Returns the bytes of a request; `aKind` is the first segment of its path.
 std::string
 RequestText(const std::string& aId,
             const std::string& aKind,
             const std::string& aFields,
             const std::string& aBody);
 
-/// One gateway with its platform.
+/// One gateway in the test's process, with the stand-in of its platform.
 struct gateway_fixture
 {
   gateway_fixture();
-  /// Turns the loop until the condition holds; fails the test if it does not
-  /// within a generous time.
+  /// Runs the event loop until the condition holds. Fails the test if it
+  /// doesn't within a minute.
   void Until(const std::function<bool()>& aCondition, const std::string& aWhat);
-  /// Turns the loop for a while in which something must not happen.
+  /// Runs the event loop for aTime, for tests that check that something does
+  /// not happen.
   void For(duration aTime);
-  /// Registers an endpoint of a service under an id.
+  /// Adds or updates an endpoint in the store's list of endpoints.
   void List(const std::string& aId,
             const std::string& aService,
             const ip_address& aAddress,
@@ -219,10 +230,12 @@
   void PutManifest(std::uint64_t aVersion,
                    const std::string& aExtra = "",
                    std::size_t aMoreRoutes = 0);
+  /// Starts the gateway and waits until it has read the manifest, the list of
+  /// endpoints and the quarantine table.
   void Start();
-  /// A port that is free on the loopback addresses.
+  /// Returns a port that is free on 127.0.0.1 for both TCP and UDP.
   std::uint16_t FreePort();
-  /// A request's bytes; `aKind` is the path's first part.
+  /// Returns the bytes of a request; `aKind` is the first segment of its path.
   std::string Request(const std::string& aId,
                       const std::string& aKind,
                       const std::string& aFields = "",
@@ -234,7 +247,8 @@
   std::unique_ptr<gateway> mGateway;
 };
 
-/// The head of an endpoint's good answer to a request.
+/// Returns the head of an endpoint's successful answer to a request. aFraming
+/// holds the header fields that frame the body.
 std::string
 SuccessHead(const http_head& aRequest, const std::string& aFraming);
 
