--- a/Tests/Soak/Faults.cpp
+++ b/Tests/Soak/Faults.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, kFaultKinds> kNames = {
+constexpr std::array<std::string_view, kFaultKindCount> kFaultNames = {
   "pause",
   "kill",
   "terminate",
@@ -23,31 +23,32 @@
   "endpoint_leaves"
 };
 
-/// Faults follow each other at this mean distance and last up to so long, so
-/// that two or three overlap as a rule.
-constexpr double kMeanDistance = 0.5;
-constexpr double kLongest = 2.0;
-constexpr std::uint64_t kTargets = 1000;
-constexpr double kMeanBetweenCrashes = 1.5;
-/// So that the two plans of a seed have nothing to do with each other.
-constexpr std::uint64_t kCrashSeed = 0xc0ffee;
+/// Mean seconds between the starts of faults, and the longest duration of one.
+/// They are chosen so that usually two or three faults overlap.
+constexpr double kMeanFaultInterval = 0.5;
+constexpr double kMaxFaultSeconds = 2.0;
+constexpr std::uint64_t kTargetRange = 1000;
+constexpr double kMeanCrashInterval = 1.5;
+/// Offset of the seed that makes the plan of crashes independent of the plan
+/// of faults.
+constexpr std::uint64_t kCrashSeedOffset = 0xc0ffee;
 
 } // namespace
 
 std::string_view
 FaultName(fault_kind aKind)
 {
-  return kNames[static_cast<std::size_t>(aKind)];
+  return kFaultNames[static_cast<std::size_t>(aKind)];
 }
 
 std::vector<planned_crash>
 PlanCrashes(std::uint64_t aSeed, duration aLength)
 {
-  random_engine random(aSeed + kCrashSeed);
+  random_engine random(aSeed + kCrashSeedOffset);
   std::vector<planned_crash> plan;
   for (double at = 1; at < Seconds(aLength);
-       at += Exponential(random, kMeanBetweenCrashes)) {
-    plan.push_back({ FromSeconds(at), Below(random, kTargets) });
+       at += Exponential(random, kMeanCrashInterval)) {
+    plan.push_back({ FromSeconds(at), Below(random, kTargetRange) });
   }
   return plan;
 }
@@ -61,11 +62,12 @@
   while (at < Seconds(aLength)) {
     fault one;
     one.mAt = FromSeconds(at);
-    one.mKind = static_cast<fault_kind>(Below(random, kFaultKinds));
-    one.mTarget = Below(random, kTargets);
-    one.mFor = FromSeconds(0.2 + Uniform(random) * (kLongest - 0.2));
+    one.mKind = static_cast<fault_kind>(Below(random, kFaultKindCount));
+    one.mTarget = Below(random, kTargetRange);
+    one.mDuration =
+      FromSeconds(0.2 + Uniform(random) * (kMaxFaultSeconds - 0.2));
     plan.push_back(one);
-    at += Exponential(random, kMeanDistance);
+    at += Exponential(random, kMeanFaultInterval);
   }
   return plan;
 }
--- a/Tests/Soak/Faults.h
+++ b/Tests/Soak/Faults.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The plan of faults of a soak: the same seed gives the same plan.
+/// The plan of faults of a soak run. The same seed gives the same plan.
 
 #include "LibCore/LibCore.h"
 
@@ -12,22 +12,22 @@
 enum class fault_kind : std::uint8_t
 {
   Pause,     ///< SIGSTOP, then SIGCONT.
-  Kill,      ///< SIGKILL, then a new start.
-  Terminate, ///< SIGTERM, then a new start.
+  Kill,      ///< SIGKILL, then a restart.
+  Terminate, ///< SIGTERM, then a restart.
   Reload,    ///< SIGHUP.
   StoreRefuses,
   StoreSilent,
-  StoreForgets,
+  StoreLosesHistory,
   NewManifest,
-  EndpointResets, ///< After it has run the request.
+  EndpointResets, ///< Resets the connection after it has run the request.
   EndpointHangs,
   EndpointRefuses,
-  EndpointBreaksOff, ///< In the middle of a stream or of an answer.
+  EndpointCutsAnswer, ///< Closes the connection in the middle of an answer.
   EndpointAnswersTwice,
-  EndpointLeaves, ///< Drains, goes, and comes back as a new one.
+  EndpointDrains, ///< Drains, is unlisted, and is replaced by a new one.
 };
 
-inline constexpr std::size_t kFaultKinds = 14;
+inline constexpr std::size_t kFaultKindCount = 14;
 
 std::string_view
 FaultName(fault_kind aKind);
@@ -36,18 +36,18 @@
 {
   duration mAt{};
   fault_kind mKind = fault_kind::Pause;
-  std::size_t mTarget = 0; ///< Drawn; taken modulo what there is.
-  duration mFor{};
+  std::size_t mTarget = 0; ///< Random; taken modulo the number of targets.
+  duration mDuration{};
 
   bool operator==(const fault&) const = default;
 };
 
-/// When endpoints end without a word, and which; beside the plan of faults, so
-/// that a seed's plan stays what it was.
+/// A crash of an endpoint: it ends without draining. Crashes are planned apart
+/// from the faults so that the plan of faults of a given seed doesn't change.
 struct planned_crash
 {
   duration mAt{};
-  std::size_t mTarget = 0; ///< Drawn; taken modulo what there is.
+  std::size_t mTarget = 0; ///< Random; taken modulo the number of targets.
 
   bool operator==(const planned_crash&) const = default;
 };
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -1,5 +1,5 @@
-/// primrose-soak: real gateways under faults from outside, with every promise
-/// checked from what callers and endpoints saw.
+/// primrose-soak: runs real gateway processes under injected faults and checks
+/// every guarantee against the records of callers and endpoints.
 
 #include "SoakWorld.h"
 
@@ -38,30 +38,33 @@
     std::cout << " status_" << status << "=" << count;
   }
   std::cout << '\n';
-  const std::vector<guarantee_violation> broken = CheckHistory(aHistory);
-  for (const guarantee_violation& one : broken) {
+  const std::vector<guarantee_violation> violations = CheckHistory(aHistory);
+  for (const guarantee_violation& one : violations) {
     std::cout << "broken request=" << one.mRequest << " what=\"" << one.mWhat
               << "\"\n";
     for (const request_record& request : aHistory.mRequests) {
       if (request.mId == one.mRequest) {
-        const auto runs = aHistory.mRuns.find(request.mId);
-        std::cout << "  entry=" << request.mEntry + 1
+        const auto executions = aHistory.mExecutions.find(request.mId);
+        std::cout << "  entry=" << request.mGateway + 1
                   << " kind=" << static_cast<int>(request.mKind)
-                  << " status=" << request.mStatus
-                  << " took_ms=" << Milliseconds(request.mEnded - request.mSent)
-                  << " bytes=" << request.mBytes << " runs="
-                  << (runs == aHistory.mRuns.end() ? 0 : runs->second)
+                  << " status=" << request.mStatus << " took_ms="
+                  << Milliseconds(request.mEndedAt - request.mSentAt)
+                  << " bytes=" << request.mBytesReceived << " runs="
+                  << (executions == aHistory.mExecutions.end()
+                        ? 0
+                        : executions->second)
                   << "; its story: grep request=" << request.mId << ' '
-                  << aFolder << "/entry-" << request.mEntry + 1 << ".log.*\n";
+                  << aFolder << "/entry-" << request.mGateway + 1 << ".log.*\n";
       }
     }
   }
-  // A soak in which hardly anything was served proves nothing.
+  // A run in which at most half of the requests succeeded shows too little to
+  // pass.
   const bool served = byStatus[200] * 2 > aHistory.mRequests.size() &&
                       !aHistory.mRequests.empty();
-  std::cout << "logs=" << aFolder << " broken=" << broken.size()
+  std::cout << "logs=" << aFolder << " broken=" << violations.size()
             << (served ? "" : " served=too_little") << '\n';
-  return broken.empty() && served ? kExitGood : kExitFailed;
+  return violations.empty() && served ? kExitGood : kExitFailed;
 }
 
 } // namespace
@@ -69,24 +72,25 @@
 int
 main(int argc, char** argv)
 {
-  soak_options asked;
+  soak_options soakOptions;
   options::options_description known("Options");
   known.add_options()("help", "print this help");
   known.add_options()("seed",
-                      options::value<std::uint64_t>(&asked.mSeed),
+                      options::value<std::uint64_t>(&soakOptions.mSeed),
                       "of the plan of faults");
   known.add_options()("seconds",
-                      options::value<unsigned>(&asked.mSeconds),
+                      options::value<unsigned>(&soakOptions.mSeconds),
                       "of load under faults");
   known.add_options()("entries",
-                      options::value<std::size_t>(&asked.mSize.mEntries),
+                      options::value<std::size_t>(&soakOptions.mSize.mGateways),
                       "gateway processes, 100 at most");
   known.add_options()("untimed",
-                      options::bool_switch(&asked.mUntimed),
+                      options::bool_switch(&soakOptions.mUntimed),
                       "judge no bounds of time");
-  known.add_options()("program",
-                      options::value<std::string>(&asked.mProgram)->required(),
-                      "the gateway's program");
+  known.add_options()(
+    "program",
+    options::value<std::string>(&soakOptions.mProgram)->required(),
+    "the gateway's program");
   try {
     options::variables_map values;
     options::store(options::parse_command_line(argc, argv, known), values);
@@ -100,14 +104,17 @@
     return kExitUsage;
   }
   StartLog("soak", log_level::Error);
-  gchar* const made = g_dir_make_tmp("primrose-soak-XXXXXX", nullptr);
-  const std::string folder = made;
-  g_free(made);
-  std::cout << "seed=" << asked.mSeed << " seconds=" << asked.mSeconds
-            << " entries=" << asked.mSize.mEntries << '\n';
-  soak_environment world(asked.mProgram, folder, asked.mSeed, asked.mSize);
-  world.Run(std::chrono::seconds(asked.mSeconds), asked.mSeed);
-  soak_history history = world.History();
-  history.mTimed = !asked.mUntimed;
+  gchar* const madeFolder = g_dir_make_tmp("primrose-soak-XXXXXX", nullptr);
+  const std::string folder = madeFolder;
+  g_free(madeFolder);
+  std::cout << "seed=" << soakOptions.mSeed
+            << " seconds=" << soakOptions.mSeconds
+            << " entries=" << soakOptions.mSize.mGateways << '\n';
+  soak_environment environment(
+    soakOptions.mProgram, folder, soakOptions.mSeed, soakOptions.mSize);
+  environment.Run(std::chrono::seconds(soakOptions.mSeconds),
+                  soakOptions.mSeed);
+  soak_history history = environment.History();
+  history.mCheckTimes = !soakOptions.mUntimed;
   return Report(history, folder);
 }
--- a/Tests/Soak/SoakWorld.cpp
+++ b/Tests/Soak/SoakWorld.cpp
@@ -16,34 +16,37 @@
 namespace {
 
 constexpr duration kTimeLimit = std::chrono::seconds(4);
-constexpr int kEventsOfStream = 12;
-constexpr duration kEventEvery = milliseconds(25);
-constexpr duration kCallWork = milliseconds(8);
-/// Mean distance of requests: enough that every fault meets several.
-constexpr double kRequestEvery = 0.012;
-/// A balancer sends nobody to an entry that started or is about to end.
-constexpr duration kStartTime = milliseconds(700);
-constexpr duration kNoticeTime = std::chrono::seconds(2);
-constexpr duration kRestartAfter = milliseconds(300);
-constexpr duration kGrace = std::chrono::seconds(8);
-/// A manifest is in force within this on every entry that is well.
-constexpr duration kInForce = std::chrono::seconds(3);
+constexpr int kEventsPerStream = 12;
+constexpr duration kEventInterval = milliseconds(25);
+constexpr duration kCallDuration = milliseconds(8);
+/// Mean seconds between requests, short enough that every fault affects several
+/// requests.
+constexpr double kMeanRequestInterval = 0.012;
+/// As behind a load balancer, callers are sent to a gateway only from
+/// kStartupTime after its start until kDrainNotice after its SIGTERM.
+constexpr duration kStartupTime = milliseconds(700);
+constexpr duration kDrainNotice = std::chrono::seconds(2);
+constexpr duration kRestartDelay = milliseconds(300);
+constexpr duration kDrainPeriod = std::chrono::seconds(8);
+/// Time within which a new manifest is in force on every healthy gateway. Also
+/// the time that a gateway may take to recover from a fault.
+constexpr duration kPropagationTime = std::chrono::seconds(3);
 constexpr duration kMemoryLease = std::chrono::seconds(4);
-/// An endpoint that ended is off the list after this, and back as a new one.
-constexpr duration kBackAfter = milliseconds(1200);
-/// The request that ends engines comes again as often as this.
-constexpr duration kCrashingEvery = milliseconds(150);
+/// Delay after which a crashed endpoint is unlisted and a new one replaces it.
+constexpr duration kReplacementDelay = milliseconds(1200);
+/// Interval at which the request that crashes engines is sent.
+constexpr duration kCrashingRequestInterval = milliseconds(150);
 const std::string kCrashingBody = "this ends whoever runs it";
 
 std::string
-RouteOf(std::uint64_t aVersion)
+RouteName(std::uint64_t aVersion)
 {
   return "v" + std::to_string(aVersion);
 }
 
 } // namespace
 
-struct soak_environment::call
+struct soak_environment::pending_call
 {
   request_record mRecord;
   std::unique_ptr<test::standin_caller> mCaller;
@@ -63,22 +66,22 @@
   mReadyPort = test::FreePort(mLoop);
   mPeersPort = test::FreePort(mLoop);
   mMetricsPort = test::FreePort(mLoop);
-  mHistory.mEvents = kEventsOfStream;
+  mHistory.mEventsPerStream = kEventsPerStream;
   PutManifest();
-  mEndpoints.resize(aSize.mEngines + aSize.mDesks);
+  mEndpoints.resize(aSize.mEngines + aSize.mDeskEndpoints);
   for (std::size_t i = 0; i < mEndpoints.size(); ++i) {
     mEndpoints[i].mService = i < aSize.mEngines ? "model" : "desk";
-    MakeEndpoint(i);
+    StartEndpoint(i);
   }
-  mEntries.resize(aSize.mEntries);
-  for (std::size_t i = 0; i < mEntries.size(); ++i) {
-    StartEntry(i);
+  mGateways.resize(aSize.mGateways);
+  for (std::size_t i = 0; i < mGateways.size(); ++i) {
+    StartGateway(i);
   }
 }
 
 soak_environment::~soak_environment()
 {
-  for (const entry_process& one : mEntries) {
+  for (const gateway_process& one : mGateways) {
     if (one.mHandle != nullptr) {
       g_subprocess_send_signal(one.mHandle, SIGCONT);
       g_subprocess_force_exit(one.mHandle);
@@ -95,18 +98,18 @@
 }
 
 void
-soak_environment::StartEntry(std::size_t aEntry)
+soak_environment::StartGateway(std::size_t aGateway)
 {
-  entry_process& one = mEntries[aEntry];
+  gateway_process& one = mGateways[aGateway];
   if (one.mHandle != nullptr) {
     g_object_unref(one.mHandle);
     one.mHandle = nullptr;
   }
-  one.mHost = "127.0.0." + std::to_string(aEntry + 1);
+  one.mHost = "127.0.0." + std::to_string(aGateway + 1);
   one.mPort = mCallersPort;
   const std::string port = ":" + std::to_string(mCallersPort);
   const json settings = {
-    { "node", "entry-" + std::to_string(aEntry + 1) },
+    { "node", "entry-" + std::to_string(aGateway + 1) },
     { "zone", "a" },
     { "ip", one.mHost },
     { "listen",
@@ -115,19 +118,20 @@
     { "port_range", { mPeersPort, mPeersPort } },
     { "seeds", json::array({ "127.0.0.1:1" }) },
     { "bounds",
-      { { "grace_s", Seconds(kGrace) },
+      { { "grace_s", Seconds(kDrainPeriod) },
         { "retry_budget_ratio", 0.5 },
         { "budget_extra", 1000 },
         { "budget_window_s", 10 } } },
     { "platform", { { "addr", mStore.Address().Text() } } }
   };
-  one.mSettings = mFolder + "/entry-" + std::to_string(aEntry + 1) + ".json";
-  one.mLog = mFolder + "/entry-" + std::to_string(aEntry + 1) + ".log";
+  one.mSettings = mFolder + "/entry-" + std::to_string(aGateway + 1) + ".json";
+  one.mLog = mFolder + "/entry-" + std::to_string(aGateway + 1) + ".log";
   std::ofstream(one.mSettings) << settings.dump();
   GSubprocessLauncher* const launcher =
     g_subprocess_launcher_new(G_SUBPROCESS_FLAGS_NONE);
-  // Each start has a log of its own, so that none overwrites another's.
-  const std::string log = one.mLog + "." + std::to_string(mSent);
+  // Each start of a gateway writes its own log file, so that no log is
+  // overwritten.
+  const std::string log = one.mLog + "." + std::to_string(mRequestsSent);
   g_subprocess_launcher_set_stdout_file_path(launcher, log.c_str());
   const std::string metrics = std::to_string(mMetricsPort);
   one.mHandle = g_subprocess_launcher_spawn(launcher,
@@ -140,18 +144,18 @@
                                             nullptr);
   g_object_unref(launcher);
   one.mPaused = false;
-  one.mEnding = false;
-  one.mTakesCallersFrom = mLoop.Now() + kStartTime;
-  one.mTakesCallersTo = mLoop.Now() + std::chrono::hours(1);
+  one.mStopping = false;
+  one.mInRotationFrom = mLoop.Now() + kStartupTime;
+  one.mInRotationUntil = mLoop.Now() + std::chrono::hours(1);
 }
 
 void
-soak_environment::MakeEndpoint(std::size_t aEndpoint)
+soak_environment::StartEndpoint(std::size_t aEndpoint)
 {
   soak_endpoint& one = mEndpoints[aEndpoint];
   one.mFault.reset();
   one.mCrashed = false;
-  one.mReserved.clear();
+  one.mReservations.clear();
   one.mId =
     "i-" + std::to_string(aEndpoint) + "-" + std::to_string(++one.mIncarnation);
   one.mServer = std::make_unique<test::standin_server>(
@@ -159,7 +163,7 @@
     [this, aEndpoint](test::standin_server::connection& aConnection,
                       const http_head& aHead,
                       const std::string& aBody) {
-      Serve(aEndpoint, aConnection, aHead, aBody);
+      ServeRequest(aEndpoint, aConnection, aHead, aBody);
     });
   test::ListEndpoint(
     mStore, one.mId, one.mService, one.mServer->Address(), "ready");
@@ -180,30 +184,31 @@
 }
 
 void
-soak_environment::ServeOrder(soak_endpoint& aEndpoint,
-                             test::standin_server::connection& aConnection,
-                             const std::string& aBody)
+soak_environment::ServeReservationCommand(
+  soak_endpoint& aEndpoint,
+  test::standin_server::connection& aConnection,
+  const std::string& aBody)
 {
   const json order = json::parse(aBody);
   const std::string id = order.at("id").get<std::string>();
   if (order.at("op") == "release") {
-    aEndpoint.mReserved.erase(id);
+    aEndpoint.mReservations.erase(id);
   } else {
-    aEndpoint.mReserved[id] =
+    aEndpoint.mReservations[id] =
       mLoop.Now() + milliseconds(order.at("hold_ms").get<std::int64_t>());
   }
   Write(aConnection, "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}", true);
 }
 
 void
-soak_environment::Serve(std::size_t aEndpoint,
-                        test::standin_server::connection& aConnection,
-                        const http_head& aHead,
-                        const std::string& aBody)
+soak_environment::ServeRequest(std::size_t aEndpoint,
+                               test::standin_server::connection& aConnection,
+                               const http_head& aHead,
+                               const std::string& aBody)
 {
   soak_endpoint& one = mEndpoints[aEndpoint];
   if (aHead.mTarget == "/order") {
-    ServeOrder(one, aConnection, aBody);
+    ServeReservationCommand(one, aConnection, aBody);
     return;
   }
   const std::string id(
@@ -223,11 +228,11 @@
     return;
   }
   if (aBody == kCrashingBody) {
-    OnCrashing(id);
+    OnCrashingRequest(id);
     CrashEndpoint(aEndpoint);
     return;
   }
-  ++mHistory.mRuns[id];
+  ++mHistory.mExecutions[id];
   if (one.mFault == fault_kind::EndpointHangs) {
     return;
   }
@@ -235,12 +240,13 @@
     aConnection.mChannel->Abort();
     return;
   }
-  // The connection object lives as long as its server, which lives as long as
-  // the incarnation: a timer that comes later finds another incarnation.
+  // The connection object lives as long as its server, and the server as long
+  // as the endpoint's incarnation. Timers that fire later see that the
+  // incarnation has changed and don't touch the connection.
   const std::size_t incarnation = one.mIncarnation;
   test::standin_server::connection* const connection = &aConnection;
-  const bool breaks = one.mFault == fault_kind::EndpointBreaksOff;
-  const auto later =
+  const bool cutsAnswer = one.mFault == fault_kind::EndpointCutsAnswer;
+  const auto writeLater =
     [this, aEndpoint, incarnation, connection](
       duration aDelay, std::string aBytes, bool aLast, bool aCut) {
       After(aDelay,
@@ -269,30 +275,30 @@
     if (one.mFault == fault_kind::EndpointAnswersTwice) {
       answer += answer;
     }
-    later(kCallWork,
-          breaks ? answer.substr(0, answer.size() / 2) : answer,
-          !breaks,
-          breaks);
+    writeLater(kCallDuration,
+               cutsAnswer ? answer.substr(0, answer.size() / 2) : answer,
+               !cutsAnswer,
+               cutsAnswer);
     return;
   }
   const std::optional<std::string_view> last =
     FieldValue(aHead.mFields, "last-event-id");
   const int first = last.has_value() ? std::stoi(std::string(*last)) + 1 : 1;
-  later(duration::zero(),
-        test::SuccessHead(aHead, "Transfer-Encoding: chunked\r\n"),
-        false,
-        false);
-  for (int event = first; event <= kEventsOfStream; ++event) {
+  writeLater(duration::zero(),
+             test::SuccessHead(aHead, "Transfer-Encoding: chunked\r\n"),
+             false,
+             false);
+  for (int event = first; event <= kEventsPerStream; ++event) {
     std::string chunk;
     AppendChunk(chunk, EventText(id, event));
-    const bool cut = breaks && event == first + 3;
-    if (event == kEventsOfStream) {
+    const bool cut = cutsAnswer && event == first + 3;
+    if (event == kEventsPerStream) {
       chunk.append(kLastChunk);
     }
-    later(kEventEvery * (event - first + 1),
-          cut ? chunk.substr(0, chunk.size() / 2) : chunk,
-          event == kEventsOfStream,
-          cut);
+    writeLater(kEventInterval * (event - first + 1),
+               cut ? chunk.substr(0, chunk.size() / 2) : chunk,
+               event == kEventsPerStream,
+               cut);
     if (cut) {
       return;
     }
@@ -308,53 +314,57 @@
   }
   one.mCrashed = true;
   one.mServer->End();
-  // What is under way on its connections finds another incarnation.
+  // Makes pending timers of its connections do nothing.
   ++one.mIncarnation;
-  After(kBackAfter, [this, aEndpoint, id = one.mId]() {
+  After(kReplacementDelay, [this, aEndpoint, id = one.mId]() {
     if (mEndpoints[aEndpoint].mId != id) {
       return;
     }
     mStore.Remove("servers", id);
     mLoop.DeleteLater(std::shared_ptr<test::standin_server>(
       std::move(mEndpoints[aEndpoint].mServer)));
-    MakeEndpoint(aEndpoint);
+    StartEndpoint(aEndpoint);
   });
 }
 
 void
-soak_environment::OnCrashing(const std::string& aId)
+soak_environment::OnCrashingRequest(const std::string& aId)
 {
-  // Named after the entry that it was sent to.
-  const std::size_t entry = std::stoul(aId.substr(1, aId.find('-') - 1));
+  // The id contains the index of the gateway that the request was sent to.
+  const std::size_t gatewayIndex = std::stoul(aId.substr(1, aId.find('-') - 1));
   const time_point now = mLoop.Now();
-  bool well = mEntries[entry].mTakesCallersFrom <= now - kInForce;
+  bool healthy =
+    mGateways[gatewayIndex].mInRotationFrom <= now - kPropagationTime;
   for (const disturbance_span& span : mHistory.mDisturbances) {
-    well = well && (span.mEntry != entry || span.mTo < now);
+    healthy = healthy && (span.mGateway != gatewayIndex || span.mTo < now);
   }
-  if (mCrashingEnds >= 3 && now > mThirdEnd + kInForce && well) {
-    ++mHistory.mCrashingLate;
+  if (mEndpointsCrashed >= 3 && now > mThirdCrashAt + kPropagationTime &&
+      healthy) {
+    ++mHistory.mLateCrashingRequests;
   }
-  if (++mCrashingEnds == 3) {
-    mThirdEnd = now;
+  if (++mEndpointsCrashed == 3) {
+    mThirdCrashAt = now;
   }
 }
 
 void
-soak_environment::SendCrashing()
+soak_environment::SendCrashingRequest()
 {
-  if (!mSending) {
+  if (!mLoadIsOn) {
     return;
   }
-  After(kCrashingEvery, [this]() { SendCrashing(); });
-  const std::optional<std::size_t> entry = AnyOpenEntry();
-  if (!entry.has_value()) {
+  After(kCrashingRequestInterval, [this]() { SendCrashingRequest(); });
+  const std::optional<std::size_t> gatewayIndex = PickGatewayInRotation();
+  if (!gatewayIndex.has_value()) {
     return;
   }
   const std::shared_ptr<test::standin_caller> caller =
     std::make_shared<test::standin_caller>(
-      mLoop, ip_address{ mEntries[*entry].mHost, mEntries[*entry].mPort });
-  caller->Send(test::RequestText("c" + std::to_string(*entry) + "-" +
-                                   std::to_string(++mCrashingSent),
+      mLoop,
+      ip_address{ mGateways[*gatewayIndex].mHost,
+                  mGateways[*gatewayIndex].mPort });
+  caller->Send(test::RequestText("c" + std::to_string(*gatewayIndex) + "-" +
+                                   std::to_string(++mCrashingRequestsSent),
                                  "stream",
                                  "Token-Usage: 1000,50\r\n",
                                  kCrashingBody));
@@ -364,18 +374,18 @@
 void
 soak_environment::PutManifest()
 {
-  ++mVersion;
-  test::WriteManifest(mStore, mVersion, RouteOf(mVersion));
+  ++mManifestVersion;
+  test::WriteManifest(mStore, mManifestVersion, RouteName(mManifestVersion));
 }
 
 std::optional<std::size_t>
-soak_environment::AnyOpenEntry()
+soak_environment::PickGatewayInRotation()
 {
   const time_point now = mLoop.Now();
   std::vector<std::size_t> open;
-  for (std::size_t i = 0; i < mEntries.size(); ++i) {
-    if (mEntries[i].mTakesCallersFrom <= now &&
-        mEntries[i].mTakesCallersTo > now) {
+  for (std::size_t i = 0; i < mGateways.size(); ++i) {
+    if (mGateways[i].mInRotationFrom <= now &&
+        mGateways[i].mInRotationUntil > now) {
       open.push_back(i);
     }
   }
@@ -388,53 +398,56 @@
 void
 soak_environment::SendRequest()
 {
-  if (!mSending) {
+  if (!mLoadIsOn) {
     return;
   }
-  After(FromSeconds(Exponential(mRandom, kRequestEvery)),
+  After(FromSeconds(Exponential(mRandom, kMeanRequestInterval)),
         [this]() { SendRequest(); });
   const time_point now = mLoop.Now();
-  const std::optional<std::size_t> entry = AnyOpenEntry();
-  if (!entry.has_value()) {
+  const std::optional<std::size_t> gatewayIndex = PickGatewayInRotation();
+  if (!gatewayIndex.has_value()) {
     return;
   }
-  const std::shared_ptr<call> made = std::make_shared<call>();
-  request_record& record = made->mRecord;
-  record.mId = "r" + std::to_string(++mSent);
+  const std::shared_ptr<pending_call> newCall =
+    std::make_shared<pending_call>();
+  request_record& record = newCall->mRecord;
+  record.mId = "r" + std::to_string(++mRequestsSent);
   record.mKind = static_cast<request_kind>(Below(mRandom, 3));
-  record.mEntry = *entry;
-  record.mSent = now;
+  record.mGateway = *gatewayIndex;
+  record.mSentAt = now;
   const char* const path = record.mKind == request_kind::Safe     ? "safe"
                            : record.mKind == request_kind::Unsafe ? "unsafe"
                                                                   : "stream";
   std::string fields =
     "Deadline-Ms: " + std::to_string(Milliseconds(kTimeLimit)) + "\r\n";
   if (record.mKind == request_kind::Stream) {
-    // One in twenty is over an engine's memory.
-    const bool giant = Below(mRandom, 20) == 0;
+    // One stream in twenty needs more tokens than an engine's memory holds.
+    const bool exceedsMemory = Below(mRandom, 20) == 0;
     fields +=
-      giant ? "Token-Usage: 400000,50\r\n"
-            : "Token-Usage: " + std::to_string(500 + Below(mRandom, 60000)) +
-                ",50\r\n";
+      exceedsMemory
+        ? "Token-Usage: 400000,50\r\n"
+        : "Token-Usage: " + std::to_string(500 + Below(mRandom, 60000)) +
+            ",50\r\n";
   }
-  made->mCaller = std::make_unique<test::standin_caller>(
+  newCall->mCaller = std::make_unique<test::standin_caller>(
     mLoop,
-    ip_address{ mEntries[record.mEntry].mHost, mEntries[record.mEntry].mPort });
-  made->mCaller->Send(test::RequestText(record.mId, path, fields, "hello"));
-  mCalls.push_back(made);
+    ip_address{ mGateways[record.mGateway].mHost,
+                mGateways[record.mGateway].mPort });
+  newCall->mCaller->Send(test::RequestText(record.mId, path, fields, "hello"));
+  mPendingCalls.push_back(newCall);
 }
 
 void
-soak_environment::Settle(const std::shared_ptr<call>& aCall)
+soak_environment::FinishCall(const std::shared_ptr<pending_call>& aCall)
 {
   request_record& record = aCall->mRecord;
-  record.mEnded = mLoop.Now();
+  record.mEndedAt = mLoop.Now();
   record.mStatus = aCall->mCaller->Status();
-  record.mWhole = aCall->mCaller->Answered();
-  record.mProven = aCall->mCaller->Field("response-seal").has_value();
+  record.mIsComplete = aCall->mCaller->Answered();
+  record.mHasSeal = aCall->mCaller->Field("response-seal").has_value();
   record.mAnswerId = aCall->mCaller->Field("request-id").value_or("");
   record.mBody = aCall->mCaller->Body();
-  record.mBytes = aCall->mCaller->ReceivedBytes().size();
+  record.mBytesReceived = aCall->mCaller->ReceivedBytes().size();
   aCall->mCaller->CloseConnection();
   mHistory.mRequests.push_back(record);
   mLoop.DeleteLater(
@@ -442,85 +455,88 @@
 }
 
 void
-soak_environment::Look()
+soak_environment::CollectFinishedCalls()
 {
-  for (const std::shared_ptr<call>& one : mCalls) {
+  for (const std::shared_ptr<pending_call>& one : mPendingCalls) {
     if (one->mCaller->Answered() || one->mCaller->Ended()) {
-      Settle(one);
+      FinishCall(one);
     }
   }
-  std::erase_if(mCalls, [](const std::shared_ptr<call>& aCall) {
+  std::erase_if(mPendingCalls, [](const std::shared_ptr<pending_call>& aCall) {
     return aCall->mCaller == nullptr;
   });
 }
 
 void
-soak_environment::Hurt(std::size_t aEntry, duration aFor)
+soak_environment::RecordDisturbance(std::size_t aGateway, duration aDuration)
 {
   const time_point now = mLoop.Now();
-  mHistory.mDisturbances.push_back({ aEntry, now, now + aFor + kInForce });
+  mHistory.mDisturbances.push_back(
+    { aGateway, now, now + aDuration + kPropagationTime });
 }
 
 void
-soak_environment::Signal(std::size_t aEntry, int aSignal)
+soak_environment::Signal(std::size_t aGateway, int aSignal)
 {
-  g_subprocess_send_signal(mEntries[aEntry].mHandle, aSignal);
+  g_subprocess_send_signal(mGateways[aGateway].mHandle, aSignal);
 }
 
 void
-soak_environment::Restart(std::size_t aEntry, duration aAfter)
+soak_environment::Restart(std::size_t aGateway, duration aAfter)
 {
-  mEntries[aEntry].mTakesCallersFrom = mLoop.Now() + std::chrono::hours(1);
-  After(aAfter, [this, aEntry]() {
-    // Until it is gone its addresses are taken.
-    g_subprocess_force_exit(mEntries[aEntry].mHandle);
-    g_subprocess_wait(mEntries[aEntry].mHandle, nullptr, nullptr);
-    StartEntry(aEntry);
+  mGateways[aGateway].mInRotationFrom = mLoop.Now() + std::chrono::hours(1);
+  After(aAfter, [this, aGateway]() {
+    // The old process has to end first, as it occupies the addresses.
+    g_subprocess_force_exit(mGateways[aGateway].mHandle);
+    g_subprocess_wait(mGateways[aGateway].mHandle, nullptr, nullptr);
+    StartGateway(aGateway);
   });
 }
 
 void
-soak_environment::Begin(const fault& aFault)
+soak_environment::BeginFault(const fault& aFault)
 {
   std::cout << "fault at=" << Seconds(aFault.mAt)
             << " kind=" << FaultName(aFault.mKind)
-            << " target=" << aFault.mTarget << " for=" << Seconds(aFault.mFor)
-            << '\n';
-  const std::size_t entry = aFault.mTarget % mEntries.size();
+            << " target=" << aFault.mTarget
+            << " for=" << Seconds(aFault.mDuration) << '\n';
+  const std::size_t gatewayIndex = aFault.mTarget % mGateways.size();
   soak_endpoint& endpoint = mEndpoints[aFault.mTarget % mEndpoints.size()];
   const time_point now = mLoop.Now();
-  // One that is already on its way to an end is left alone: a second fault
-  // would make its planned end an unplanned one.
-  const bool up = mEntries[entry].mTakesCallersFrom <= now &&
-                  !mEntries[entry].mEnding && !mEntries[entry].mPaused;
+  // Gateways that are already ending get no second fault, which would turn
+  // their planned exit into an unplanned one.
+  const bool canBeDisturbed = mGateways[gatewayIndex].mInRotationFrom <= now &&
+                              !mGateways[gatewayIndex].mStopping &&
+                              !mGateways[gatewayIndex].mPaused;
   switch (aFault.mKind) {
     case fault_kind::Pause:
-      if (up) {
-        mEntries[entry].mPaused = true;
-        Hurt(entry, aFault.mFor);
-        Signal(entry, SIGSTOP);
+      if (canBeDisturbed) {
+        mGateways[gatewayIndex].mPaused = true;
+        RecordDisturbance(gatewayIndex, aFault.mDuration);
+        Signal(gatewayIndex, SIGSTOP);
       }
       return;
     case fault_kind::Kill:
-      if (up) {
-        mEntries[entry].mEnding = true;
-        Hurt(entry, aFault.mFor + kRestartAfter);
-        Restart(entry, kRestartAfter);
-        Signal(entry, SIGKILL);
+      if (canBeDisturbed) {
+        mGateways[gatewayIndex].mStopping = true;
+        RecordDisturbance(gatewayIndex, aFault.mDuration + kRestartDelay);
+        Restart(gatewayIndex, kRestartDelay);
+        Signal(gatewayIndex, SIGKILL);
       }
       return;
     case fault_kind::Terminate:
-      if (up) {
-        mEntries[entry].mEnding = true;
-        mHistory.mPlannedExits.push_back({ entry, now });
-        mEntries[entry].mTakesCallersTo = now + kNoticeTime;
-        Signal(entry, SIGTERM);
-        After(kGrace, [this, entry]() { Restart(entry, kRestartAfter); });
+      if (canBeDisturbed) {
+        mGateways[gatewayIndex].mStopping = true;
+        mHistory.mPlannedExits.push_back({ gatewayIndex, now });
+        mGateways[gatewayIndex].mInRotationUntil = now + kDrainNotice;
+        Signal(gatewayIndex, SIGTERM);
+        After(kDrainPeriod,
+              [this, gatewayIndex]() { Restart(gatewayIndex, kRestartDelay); });
       }
       return;
     case fault_kind::Reload:
-      if (up) {
-        Signal(entry, SIGHUP);
+      if (canBeDisturbed) {
+        Signal(gatewayIndex, SIGHUP);
       }
       return;
     case fault_kind::StoreRefuses:
@@ -530,16 +546,16 @@
                                ? test::standin_store::response_mode::Refusing
                                : test::standin_store::response_mode::Silent);
       return;
-    case fault_kind::StoreForgets:
+    case fault_kind::StoreLosesHistory:
       mStore.LoseHistory();
       return;
     case fault_kind::NewManifest: {
       PutManifest();
-      const std::uint64_t version = mVersion;
-      After(kInForce, [this, version]() { CheckManifest(version); });
+      const std::uint64_t version = mManifestVersion;
+      After(kPropagationTime, [this, version]() { CheckManifest(version); });
       return;
     }
-    case fault_kind::EndpointLeaves: {
+    case fault_kind::EndpointDrains: {
       if (endpoint.mCrashed) {
         return;
       }
@@ -555,7 +571,7 @@
           mStore.Remove("servers", id);
           mLoop.DeleteLater(std::shared_ptr<test::standin_server>(
             std::move(mEndpoints[index].mServer)));
-          MakeEndpoint(index);
+          StartEndpoint(index);
         }
       });
       return;
@@ -567,22 +583,22 @@
 }
 
 void
-soak_environment::End(const fault& aFault)
+soak_environment::EndFault(const fault& aFault)
 {
-  const std::size_t entry = aFault.mTarget % mEntries.size();
+  const std::size_t gatewayIndex = aFault.mTarget % mGateways.size();
   soak_endpoint& endpoint = mEndpoints[aFault.mTarget % mEndpoints.size()];
   switch (aFault.mKind) {
     case fault_kind::Pause:
-      if (mEntries[entry].mPaused) {
-        mEntries[entry].mPaused = false;
-        Signal(entry, SIGCONT);
+      if (mGateways[gatewayIndex].mPaused) {
+        mGateways[gatewayIndex].mPaused = false;
+        Signal(gatewayIndex, SIGCONT);
       }
       return;
     case fault_kind::StoreRefuses:
     case fault_kind::StoreSilent:
       if (--mStoreFaults == 0) {
         mStore.SetResponseMode(test::standin_store::response_mode::Good);
-        mStoreGoodSince = mLoop.Now();
+        mStoreHealthySince = mLoop.Now();
       }
       return;
     default:
@@ -597,29 +613,29 @@
 soak_environment::CheckManifest(std::uint64_t aVersion)
 {
   const time_point now = mLoop.Now();
-  if (aVersion != mVersion || mStoreFaults > 0 ||
-      now - mStoreGoodSince < kInForce + std::chrono::seconds(1)) {
+  if (aVersion != mManifestVersion || mStoreFaults > 0 ||
+      now - mStoreHealthySince < kPropagationTime + std::chrono::seconds(1)) {
     return;
   }
-  for (std::size_t i = 0; i < mEntries.size(); ++i) {
-    bool well = mEntries[i].mTakesCallersFrom <= now - kInForce &&
-                mEntries[i].mTakesCallersTo > now && !mEntries[i].mPaused;
+  for (std::size_t i = 0; i < mGateways.size(); ++i) {
+    bool healthy = mGateways[i].mInRotationFrom <= now - kPropagationTime &&
+                   mGateways[i].mInRotationUntil > now && !mGateways[i].mPaused;
     for (const disturbance_span& span : mHistory.mDisturbances) {
-      well = well && (span.mEntry != i || span.mTo < now);
+      healthy = healthy && (span.mGateway != i || span.mTo < now);
     }
-    if (!well) {
+    if (!healthy) {
       continue;
     }
     const std::shared_ptr<test::standin_caller> caller =
       std::make_shared<test::standin_caller>(
-        mLoop, ip_address{ mEntries[i].mHost, mEntries[i].mPort });
+        mLoop, ip_address{ mGateways[i].mHost, mGateways[i].mPort });
     caller->Send(test::RequestText("look-" + std::to_string(aVersion) + "-" +
                                      std::to_string(i),
-                                   RouteOf(aVersion),
+                                   RouteName(aVersion),
                                    "",
                                    ""));
     After(std::chrono::seconds(2), [this, caller, i, aVersion]() {
-      if (caller->Status() == 404 && aVersion == mVersion) {
+      if (caller->Status() == 404 && aVersion == mManifestVersion) {
         mHistory.mOtherViolations.push_back("entry " + std::to_string(i + 1) +
                                             " does not serve version " +
                                             std::to_string(aVersion));
@@ -630,10 +646,10 @@
 }
 
 void
-soak_environment::CheckMemory()
+soak_environment::CheckReservations()
 {
   for (const soak_endpoint& one : mEndpoints) {
-    for (const auto& [id, until] : one.mReserved) {
+    for (const auto& [id, until] : one.mReservations) {
       if (until > mLoop.Now()) {
         mHistory.mOtherViolations.push_back("memory " + id +
                                             " stays set aside at " + one.mId);
@@ -646,22 +662,22 @@
 soak_environment::Run(duration aLength, std::uint64_t aSeed)
 {
   const time_point begin = mLoop.Now();
-  const auto turnUntil = [this](time_point aEnd) {
-    time_point looked{};
+  const auto runUntil = [this](time_point aEnd) {
+    time_point collectedAt{};
     while (mLoop.Now() < aEnd) {
       timer_id wake = mLoop.After(milliseconds(10), []() {});
       mLoop.Turn();
       mLoop.Cancel(wake);
-      if (mLoop.Now() - looked > milliseconds(10)) {
-        looked = mLoop.Now();
-        Look();
+      if (mLoop.Now() - collectedAt > milliseconds(10)) {
+        collectedAt = mLoop.Now();
+        CollectFinishedCalls();
       }
     }
   };
-  turnUntil(begin + kStartTime);
-  mSending = true;
+  runUntil(begin + kStartupTime);
+  mLoadIsOn = true;
   SendRequest();
-  SendCrashing();
+  SendCrashingRequest();
   for (const planned_crash& one : PlanCrashes(aSeed, aLength)) {
     After(one.mAt, [this, one]() {
       std::cout << "crash at=" << Seconds(one.mAt) << '\n';
@@ -669,22 +685,22 @@
     });
   }
   for (const fault& one : PlanFaults(aSeed, aLength)) {
-    After(one.mAt, [this, one]() { Begin(one); });
-    After(one.mAt + one.mFor, [this, one]() { End(one); });
-  }
-  turnUntil(begin + kStartTime + aLength);
-  mSending = false;
-  // All faults have ended; what was sent ends, and memory is freed.
-  turnUntil(mLoop.Now() + kTimeLimit + kMemoryLease + std::chrono::seconds(1));
-  CheckMemory();
-  std::cout << "crashing_request asked=" << mCrashingSent
-            << " ended=" << mCrashingEnds << " late=" << mHistory.mCrashingLate
-            << '\n';
-  for (const std::shared_ptr<call>& one : mCalls) {
-    Settle(one);
-  }
-  mCalls.clear();
-  turnUntil(mLoop.Now() + milliseconds(50));
+    After(one.mAt, [this, one]() { BeginFault(one); });
+    After(one.mAt + one.mDuration, [this, one]() { EndFault(one); });
+  }
+  runUntil(begin + kStartupTime + aLength);
+  mLoadIsOn = false;
+  // Lets the remaining faults and requests end and the memory leases expire.
+  runUntil(mLoop.Now() + kTimeLimit + kMemoryLease + std::chrono::seconds(1));
+  CheckReservations();
+  std::cout << "crashing_request asked=" << mCrashingRequestsSent
+            << " ended=" << mEndpointsCrashed
+            << " late=" << mHistory.mLateCrashingRequests << '\n';
+  for (const std::shared_ptr<pending_call>& one : mPendingCalls) {
+    FinishCall(one);
+  }
+  mPendingCalls.clear();
+  runUntil(mLoop.Now() + milliseconds(50));
 }
 
 } // namespace primrose::soak
--- a/Tests/Soak/SoakWorld.h
+++ b/Tests/Soak/SoakWorld.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The processes, stand-ins and callers of a soak. The gateways are real
-/// processes, hurt from outside; the platform and the endpoints stand in the
-/// soak's own process.
+/// The processes, stand-ins and callers of a soak run. The gateways are real
+/// processes that are disturbed from outside by signals. The stand-ins of the
+/// platform and of the endpoints run in the soak's own process.
 
 #include "Faults.h"
 #include "History.h"
@@ -14,13 +14,13 @@
 
 struct soak_size
 {
-  std::size_t mEntries = 3;
+  std::size_t mGateways = 3;
   std::size_t mEngines = 4;
-  std::size_t mDesks = 2;
+  std::size_t mDeskEndpoints = 2;
 };
 
 /// One gateway process.
-struct entry_process
+struct gateway_process
 {
   std::string mHost;
   std::string mSettings; ///< Path of its settings file.
@@ -28,21 +28,23 @@
   GSubprocess* mHandle = nullptr;
   std::uint16_t mPort = 0; ///< Where callers connect.
   bool mPaused = false;
-  bool mEnding = false; ///< Asked to end, or killed; a new start follows.
-  time_point mTakesCallersFrom{};
-  time_point mTakesCallersTo{};
+  bool mStopping = false; ///< Got SIGTERM or SIGKILL; a restart follows.
+  /// Callers are sent to the gateway only in this span.
+  time_point mInRotationFrom{};
+  time_point mInRotationUntil{};
 };
 
-/// One endpoint, with what is wrong with it just now.
+/// One endpoint and its current fault, if any.
 struct soak_endpoint
 {
   std::string mId;
   std::string mService;
   std::size_t mIncarnation = 0;
   std::optional<fault_kind> mFault;
-  bool mCrashed = false; ///< It ended without a word; a new one follows.
+  bool mCrashed = false; ///< Ended without draining; a new one follows.
   std::unique_ptr<test::standin_server> mServer;
-  std::map<std::string, time_point> mReserved; ///< Until when.
+  /// Expiry times of memory reservations, by the id in their command.
+  std::map<std::string, time_point> mReservations;
 };
 
 class soak_environment
@@ -56,42 +58,51 @@
   soak_environment(const soak_environment&) = delete;
   soak_environment& operator=(const soak_environment&) = delete;
 
-  /// Load under the faults of a seed, then a quiet time in which all ends.
+  /// Sends load under the faults of a seed. Then runs without load and faults
+  /// until all requests have ended and reservations have expired.
   void Run(duration aLength, std::uint64_t aSeed);
   const soak_history& History() const { return mHistory; }
 
 private:
-  struct call;
-  void StartEntry(std::size_t aEntry);
-  void Begin(const fault& aFault);
-  void End(const fault& aFault);
-  void Hurt(std::size_t aEntry, duration aFor);
-  void Signal(std::size_t aEntry, int aSignal);
-  void Restart(std::size_t aEntry, duration aAfter);
-  void MakeEndpoint(std::size_t aEndpoint);
-  void Serve(std::size_t aEndpoint,
-             test::standin_server::connection& aConnection,
-             const http_head& aHead,
-             const std::string& aBody);
-  void ServeOrder(soak_endpoint& aEndpoint,
-                  test::standin_server::connection& aConnection,
-                  const std::string& aBody);
+  struct pending_call;
+  void StartGateway(std::size_t aGateway);
+  void BeginFault(const fault& aFault);
+  void EndFault(const fault& aFault);
+  /// Records that a gateway is disturbed for aDuration and the time to
+  /// recover after it.
+  void RecordDisturbance(std::size_t aGateway, duration aDuration);
+  void Signal(std::size_t aGateway, int aSignal);
+  void Restart(std::size_t aGateway, duration aAfter);
+  void StartEndpoint(std::size_t aEndpoint);
+  void ServeRequest(std::size_t aEndpoint,
+                    test::standin_server::connection& aConnection,
+                    const http_head& aHead,
+                    const std::string& aBody);
+  void ServeReservationCommand(soak_endpoint& aEndpoint,
+                               test::standin_server::connection& aConnection,
+                               const std::string& aBody);
   void Write(test::standin_server::connection& aConnection,
              const std::string& aBytes,
              bool aLast);
   void SendRequest();
-  /// Asks for what ends each engine that runs it, again and again.
-  void SendCrashing();
-  void OnCrashing(const std::string& aId);
-  /// Ends an endpoint without a word; a new one takes its place.
+  /// Sends the request that crashes each engine that runs it, and repeats this
+  /// at a fixed interval.
+  void SendCrashingRequest();
+  /// Counts a crash by this request, and whether the send came too late.
+  void OnCrashingRequest(const std::string& aId);
+  /// Ends an endpoint without draining; a new one replaces it.
   void CrashEndpoint(std::size_t aEndpoint);
-  /// An entry that callers are sent to now; nothing if there is none.
-  std::optional<std::size_t> AnyOpenEntry();
-  void Settle(const std::shared_ptr<call>& aCall);
-  void Look();
+  /// Returns a random gateway among those that take callers now.
+  std::optional<std::size_t> PickGatewayInRotation();
+  /// Records the result of a call and closes its connection.
+  void FinishCall(const std::shared_ptr<pending_call>& aCall);
+  /// Finishes the calls that are answered or whose connection has ended.
+  void CollectFinishedCalls();
   void PutManifest();
+  /// Checks that every healthy gateway serves this version of the manifest.
   void CheckManifest(std::uint64_t aVersion);
-  void CheckMemory();
+  /// Checks that no reservation is left on an endpoint.
+  void CheckReservations();
   void After(duration aDelay, std::function<void()> aAction);
 
   event_loop mLoop;
@@ -99,22 +110,22 @@
   std::string mFolder;
   random_engine mRandom;
   test::standin_store mStore;
-  std::vector<entry_process> mEntries;
-  std::uint16_t mCallersPort = 0; ///< The same on the address of each entry.
+  std::vector<gateway_process> mGateways;
+  std::uint16_t mCallersPort = 0; ///< The same on each gateway's address.
   std::uint16_t mReadyPort = 0;
   std::uint16_t mPeersPort = 0;
   std::uint16_t mMetricsPort = 0;
   std::vector<soak_endpoint> mEndpoints;
-  std::vector<std::shared_ptr<call>> mCalls;
+  std::vector<std::shared_ptr<pending_call>> mPendingCalls;
   soak_history mHistory;
-  std::uint64_t mVersion = 1;
-  time_point mStoreGoodSince{};
+  std::uint64_t mManifestVersion = 1;
+  time_point mStoreHealthySince{};
   unsigned mStoreFaults = 0;
-  std::size_t mSent = 0;
-  std::size_t mCrashingSent = 0;
-  std::size_t mCrashingEnds = 0; ///< Engines that ended under it.
-  time_point mThirdEnd{};
-  bool mSending = false;
+  std::size_t mRequestsSent = 0;
+  std::size_t mCrashingRequestsSent = 0;
+  std::size_t mEndpointsCrashed = 0; ///< Endpoints crashed by the request.
+  time_point mThirdCrashAt{};
+  bool mLoadIsOn = false;
 };
 
 } // namespace primrose::soak
