--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -1,7 +1,7 @@
 /// primrose-soak: runs real gateway processes under injected faults and checks
 /// every guarantee against the records of callers and endpoints.
 
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include "LibDaemon/CommandLine.h"
 #include "LibObserve/LibObserve.h"
