--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -64,7 +64,7 @@
                       !aHistory.mRequests.empty();
   std::cout << "logs=" << aFolder << " broken=" << violations.size()
             << (served ? "" : " served=too_little") << '\n';
-  return violations.empty() && served ? kExitGood : kExitFailed;
+  return violations.empty() && served ? kExitSuccess : kExitFailure;
 }
 
 } // namespace
@@ -96,7 +96,7 @@
     options::store(options::parse_command_line(argc, argv, known), values);
     if (values.count("help") != 0) {
       std::cout << known;
-      return kExitGood;
+      return kExitSuccess;
     }
     options::notify(values);
   } catch (const options::error& problem) {
