--- a/Tests/Unit/LogStoryTest.cpp
+++ b/Tests/Unit/LogStoryTest.cpp
@@ -4,17 +4,17 @@
 
 using namespace primrose::control;
 
-class story_test : public CppUnit::TestFixture
+class request_timeline_test : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(story_test);
-  CPPUNIT_TEST(ValuesAreFoundByTheirWholeKey);
-  CPPUNIT_TEST(RequestIsToldWithWhatWasBelieved);
-  CPPUNIT_TEST(NothingIsToldOfAnEarlierStart);
-  CPPUNIT_TEST(UnknownRequestHasNoStory);
+  CPPUNIT_TEST_SUITE(request_timeline_test);
+  CPPUNIT_TEST(FieldValuesAreFoundByWholeKey);
+  CPPUNIT_TEST(TimelineIncludesGatewayStateAtTheTime);
+  CPPUNIT_TEST(TimelineOmitsStateFromBeforeARestart);
+  CPPUNIT_TEST(UnknownRequestHasEmptyTimeline);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ValuesAreFoundByTheirWholeKey()
+  void FieldValuesAreFoundByWholeKey()
   {
     const std::string line =
       "time=1 by=e event=request open_requests=3 request=r1 why=\"a b\"";
@@ -23,10 +23,11 @@
     CPPUNIT_ASSERT_EQUAL(std::string(""), LogFieldValue(line, "requests"));
   }
 
-  /// An operator asks why a request failed: what its entry believed of the
-  /// manifest, the store and the endpoints that it met belongs to the answer;
-  /// what other entries believed, and what came later, does not.
-  void RequestIsToldWithWhatWasBelieved()
+  /// The timeline of a request includes what its gateway knew about the
+  /// manifest, the store and the endpoints of the request, so that an operator
+  /// can see why the request failed. It does not include the state of other
+  /// gateways or later state changes.
+  void TimelineIncludesGatewayStateAtTheTime()
   {
     const std::vector<std::string> lines = {
       "time=10 by=e1 event=started",
@@ -48,10 +49,11 @@
     CPPUNIT_ASSERT(RequestTimeline(lines, "r1") == expected);
   }
 
-  /// Symptom: a request is refused for want of a manifest, and its story names
-  /// version 7 as in force. Sequence: the entry was killed and started again
-  /// while the store was away. Cause: the line was of the process before.
-  void NothingIsToldOfAnEarlierStart()
+  /// Guards against state of an earlier gateway process in the timeline. The
+  /// gateway is killed and restarted while the store is unreachable, and
+  /// refuses a request because it has no manifest; the timeline must not show
+  /// manifest version 7, which the earlier process had in force.
+  void TimelineOmitsStateFromBeforeARestart()
   {
     const std::vector<std::string> lines = {
       "time=1 by=e1 event=started",
@@ -64,10 +66,10 @@
     CPPUNIT_ASSERT(RequestTimeline(lines, "r1") == expected);
   }
 
-  void UnknownRequestHasNoStory()
+  void UnknownRequestHasEmptyTimeline()
   {
     CPPUNIT_ASSERT(RequestTimeline({ "time=1 by=e request=r1" }, "r").empty());
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(story_test, "story");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(request_timeline_test, "story");
--- a/Utilities/Control/Control.h
+++ b/Utilities/Control/Control.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The commands of primrosectl. Each prints for a person, or with --json for a
-/// program, and gives the exit code.
+/// The commands of primrosectl. Each prints text, or JSON if --json is given,
+/// and returns the exit code of the program.
 
 #include "LibDaemon/LibDaemon.h"
 #include "LibHttp/LibHttp.h"
@@ -13,12 +13,13 @@
 
 namespace primrose::control {
 
-/// Where the operators' tool finds the fleet.
+/// Addresses of the platform and the gateways, and the key that authorises
+/// operators' requests. Read from the file that --settings names.
 struct control_settings
 {
   std::string mPlatform;
   std::string mOperatorKey;
-  std::vector<std::string> mEntries;
+  std::vector<std::string> mGateways;
 
   bool operator==(const control_settings&) const = default;
 };
@@ -32,23 +33,23 @@
   main_loop& mLoop;
   http_client& mHttp;
   bool mJson = false;
-  std::vector<std::string> mArguments; ///< After the command's name.
+  std::vector<std::string> mArguments; ///< Without the command's name.
 };
 
-using command_function = result<int> (*)(control_context&);
+using command_handler = result<int> (*)(control_context&);
 
 struct command
 {
   std::string_view mName;
   std::string_view mArguments;
   std::string_view mPurpose;
-  std::size_t mLeast;  ///< Arguments that it needs.
-  std::size_t mMost;   ///< Arguments that it takes.
-  bool mNeedsSettings; ///< False: works without --settings.
-  command_function mFunction;
+  std::size_t mMinArguments;
+  std::size_t mMaxArguments;
+  bool mNeedsSettings; ///< True if --settings is required.
+  command_handler mHandler;
 };
 
-// Settings files.
+// Commands that read settings files.
 result<int>
 CheckTree(control_context& aContext);
 result<int>
@@ -58,11 +59,11 @@
 result<int>
 MakeKey(control_context& aContext);
 
-// Logs of gateways.
+// Commands that read gateways' log files.
 result<int>
 ShowRequestTimeline(control_context& aContext);
 
-// A running fleet.
+// Commands that query or change a running fleet.
 result<int>
 ShowStatus(control_context& aContext);
 result<int>
@@ -76,11 +77,12 @@
 result<int>
 ShowMetric(control_context& aContext);
 
-/// Sends a request with the operators' key; fails if nobody answers.
+/// Sends an HTTP request authorised by the operators' key. Fails if the server
+/// cannot be reached or does not answer before the timeout.
 result<http_response>
-Ask(control_context& aContext,
-    const std::string& aMethod,
-    const std::string& aUrl,
-    const std::string& aBody = "");
+SendOperatorRequest(control_context& aContext,
+                    const std::string& aMethod,
+                    const std::string& aUrl,
+                    const std::string& aBody = "");
 
 } // namespace primrose::control
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-constexpr unsigned kGood = 200;
+constexpr unsigned kStatusOk = 200;
 constexpr duration kOperatorRequestTimeout = std::chrono::seconds(5);
 
-/// The JSON of an entry's answer, or a failure with what it said.
+/// Sends a GET request and parses the JSON answer. An answer other than 200
+/// becomes a failure with the error message of its body.
 result<json>
 FetchJson(control_context& aContext, const std::string& aUrl)
 {
-  BOOST_LEAF_ASSIGN(http_response const response, Ask(aContext, "GET", aUrl));
+  BOOST_LEAF_ASSIGN(http_response const response,
+                    SendOperatorRequest(aContext, "GET", aUrl));
   BOOST_LEAF_ASSIGN(json body, ParseObject(response.mBody));
-  if (response.mStatus != kGood) {
+  if (response.mStatus != kStatusOk) {
     return Fail(error_kind::EndpointFailed,
                 body.contains("error")
                   ? body["error"].value("message", response.mBody)
@@ -27,10 +29,10 @@
 }
 
 std::optional<json>
-FetchStatus(control_context& aContext, const std::string& aEntry)
+FetchStatus(control_context& aContext, const std::string& aGateway)
 {
   outcome<json> status = Capture<json>(
-    [&]() { return FetchJson(aContext, "http://" + aEntry + "/status"); });
+    [&]() { return FetchJson(aContext, "http://" + aGateway + "/status"); });
   return status.mValue;
 }
 
@@ -63,27 +65,28 @@
                            aDecision.value("decision", "?"),
                            aDecision.value("text", ""),
                            aDecision.value("revision", 0));
-  for (const json& one : aDecision.value("alternatives", json::array())) {
+  for (const json& alternative :
+       aDecision.value("alternatives", json::array())) {
     std::cout << fmt::format("          {:<20}score {:<10.4g}{}\n",
-                             one.value("name", "?"),
-                             one.value("score", 0.0),
-                             one.value("note", ""));
+                             alternative.value("name", "?"),
+                             alternative.value("score", 0.0),
+                             alternative.value("note", ""));
   }
-  for (const json& cause : aDecision.value("settings", json::array())) {
+  for (const json& setting : aDecision.value("settings", json::array())) {
     std::cout << fmt::format("          because {} = {:g}, set at {}\n",
-                             cause.value("setting", "?"),
-                             cause.value("value", 0.0),
-                             cause.value("from", "?"));
+                             setting.value("setting", "?"),
+                             setting.value("value", 0.0),
+                             setting.value("from", "?"));
   }
 }
 
 } // namespace
 
 result<http_response>
-Ask(control_context& aContext,
-    const std::string& aMethod,
-    const std::string& aUrl,
-    const std::string& aBody)
+SendOperatorRequest(control_context& aContext,
+                    const std::string& aMethod,
+                    const std::string& aUrl,
+                    const std::string& aBody)
 {
   http_request request{ aMethod, aUrl };
   request.mBody = aBody;
@@ -102,21 +105,21 @@
 result<int>
 ShowStatus(control_context& aContext)
 {
-  json all = json::object();
-  for (const std::string& entry : aContext.mSettings.mEntries) {
-    const std::optional<json> status = FetchStatus(aContext, entry);
-    all[entry] = status.value_or(json(nullptr));
+  json statuses = json::object();
+  for (const std::string& gateway : aContext.mSettings.mGateways) {
+    const std::optional<json> status = FetchStatus(aContext, gateway);
+    statuses[gateway] = status.value_or(json(nullptr));
     if (aContext.mJson) {
       continue;
     }
     if (status) {
-      PrintGateway(entry, *status);
+      PrintGateway(gateway, *status);
     } else {
-      std::cout << entry << " does not answer\n";
+      std::cout << gateway << " does not answer\n";
     }
   }
   if (aContext.mJson) {
-    std::cout << all.dump(2) << "\n";
+    std::cout << statuses.dump(2) << "\n";
   }
   return kExitGood;
 }
@@ -126,19 +129,19 @@
 {
   const std::string& request = aContext.mArguments[0];
   const std::string owner(OwnerOf(request));
-  failure why{ error_kind::NotFound,
-               "no entry is named in the settings",
-               ran_state::No,
-               std::nullopt };
-  for (const std::string& entry : aContext.mSettings.mEntries) {
-    // The request's id names the entry that knows it; others are asked only
-    // as long as that one has not been found.
+  failure lastFailure{ error_kind::NotFound,
+                       "no entry is named in the settings",
+                       ran_state::No,
+                       std::nullopt };
+  for (const std::string& gateway : aContext.mSettings.mGateways) {
+    // Only the gateway that the request's id names has its decisions. The
+    // gateways are queried one after another until that one answers.
     const outcome<json> answer = Capture<json>([&]() {
       return FetchJson(aContext,
-                       fmt::format("http://{}/explain/{}", entry, request));
+                       fmt::format("http://{}/explain/{}", gateway, request));
     });
     if (!answer) {
-      why = answer.mFailure;
+      lastFailure = answer.mFailure;
       continue;
     }
     if (aContext.mJson) {
@@ -151,16 +154,17 @@
     }
     return kExitGood;
   }
-  return Fail(why);
+  return Fail(lastFailure);
 }
 
 result<int>
 DrainNode(control_context& aContext)
 {
   const std::string& address = aContext.mArguments[0];
-  BOOST_LEAF_ASSIGN(http_response const response,
-                    Ask(aContext, "POST", "http://" + address + "/drain"));
-  if (response.mStatus != kGood) {
+  BOOST_LEAF_ASSIGN(
+    http_response const response,
+    SendOperatorRequest(aContext, "POST", "http://" + address + "/drain"));
+  if (response.mStatus != kStatusOk) {
     return Fail(error_kind::EndpointFailed, response.mBody);
   }
   std::cout << address << " drains: " << response.mBody << "\n";
@@ -170,34 +174,37 @@
 result<int>
 ListVm(control_context& aContext)
 {
-  const std::vector<std::string>& words = aContext.mArguments;
-  const std::optional<vm_kind> kind = VmKindNamed(words[1]);
+  const std::vector<std::string>& arguments = aContext.mArguments;
+  const std::optional<vm_kind> kind = VmKindNamed(arguments[1]);
   if (!kind) {
     return Fail(error_kind::SettingsInvalid,
-                "expected engine, service or entry, found \"" + words[1] +
+                "expected engine, service or entry, found \"" + arguments[1] +
                   "\"");
   }
-  const listed_endpoint endpoint{ words[0], words[3], words[2], words[4],
-                                  words[5], *kind,    false };
-  BOOST_LEAF_ASSIGN(
-    http_response const response,
-    Ask(aContext,
-        "PUT",
-        "http://" + aContext.mSettings.mPlatform + "/vms/" + words[0],
-        ToJson(endpoint).dump()));
-  return response.mStatus == kGood ? kExitGood : kExitFailed;
+  const listed_endpoint endpoint{ arguments[0], arguments[3], arguments[2],
+                                  arguments[4], arguments[5], *kind,
+                                  false };
+  BOOST_LEAF_ASSIGN(http_response const response,
+                    SendOperatorRequest(aContext,
+                                        "PUT",
+                                        "http://" +
+                                          aContext.mSettings.mPlatform +
+                                          "/vms/" + arguments[0],
+                                        ToJson(endpoint).dump()));
+  return response.mStatus == kStatusOk ? kExitGood : kExitFailed;
 }
 
 result<int>
 ShowMetric(control_context& aContext)
 {
   const std::string url = "http://" + aContext.mArguments[0] + "/metrics";
-  BOOST_LEAF_ASSIGN(http_response const response, Ask(aContext, "GET", url));
-  const std::string wanted = aContext.mArguments[1] + " ";
+  BOOST_LEAF_ASSIGN(http_response const response,
+                    SendOperatorRequest(aContext, "GET", url));
+  const std::string prefix = aContext.mArguments[1] + " ";
   std::istringstream lines(response.mBody);
   for (std::string line; std::getline(lines, line);) {
-    if (line.starts_with(wanted)) {
-      std::cout << line.substr(wanted.size()) << "\n";
+    if (line.starts_with(prefix)) {
+      std::cout << line.substr(prefix.size()) << "\n";
       return kExitGood;
     }
   }
@@ -207,22 +214,24 @@
 result<int>
 WaitFor(control_context& aContext)
 {
-  const double wanted = ParseNumber(aContext.mArguments[0]).value_or(0);
-  const double seconds = ParseNumber(aContext.mArguments[1]).value_or(0);
-  constexpr duration kPause = std::chrono::milliseconds(200);
+  const double wantedEndpoints =
+    ParseNumber(aContext.mArguments[0]).value_or(0);
+  const double timeoutSeconds = ParseNumber(aContext.mArguments[1]).value_or(0);
+  constexpr duration kPollInterval = std::chrono::milliseconds(200);
   const system_clock_source clock;
-  const time_point end = clock.Now() + FromSeconds(seconds);
-  while (clock.Now() < end) {
-    bool all = true;
-    for (const std::string& entry : aContext.mSettings.mEntries) {
-      const std::optional<json> status = FetchStatus(aContext, entry);
-      all = all && status &&
-            static_cast<double>((*status)["endpoints"].size()) >= wanted;
+  const time_point deadline = clock.Now() + FromSeconds(timeoutSeconds);
+  while (clock.Now() < deadline) {
+    bool allReady = true;
+    for (const std::string& gateway : aContext.mSettings.mGateways) {
+      const std::optional<json> status = FetchStatus(aContext, gateway);
+      allReady =
+        allReady && status &&
+        static_cast<double>((*status)["endpoints"].size()) >= wantedEndpoints;
     }
-    if (all) {
+    if (allReady) {
       return kExitGood;
     }
-    Delay(kPause).wait(aContext.mLoop.Scope());
+    Delay(kPollInterval).wait(aContext.mLoop.Scope());
   }
   return Fail(error_kind::DeadlineExceeded,
               "not every entry knows all the endpoints in time");
--- a/Utilities/Control/LogCommands.cpp
+++ b/Utilities/Control/LogCommands.cpp
@@ -19,23 +19,23 @@
     }
     std::string line;
     while (std::getline(file, line)) {
-      // What collects the logs may have put something before each line.
+      // A log collector may have added a prefix to each line.
       const std::size_t begin = line.find("time=");
       if (begin != std::string::npos) {
         lines.push_back(line.substr(begin));
       }
     }
   }
-  const std::vector<std::string> story = RequestTimeline(lines, request);
-  if (story.empty()) {
+  const std::vector<std::string> timeline = RequestTimeline(lines, request);
+  if (timeline.empty()) {
     return Fail(error_kind::NotFound,
                 "no line of these logs names request " + request);
   }
   if (aContext.mJson) {
-    std::cout << json(story).dump() << "\n";
+    std::cout << json(timeline).dump() << "\n";
     return kExitGood;
   }
-  for (const std::string& line : story) {
+  for (const std::string& line : timeline) {
     std::cout << line << "\n";
   }
   return kExitGood;
--- a/Utilities/Control/LogStory.cpp
+++ b/Utilities/Control/LogStory.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Events that change what an entry believes, and whose newest line before a
-/// request therefore says what it believed then.
+/// Events that change the known state of a gateway. The newest line of such an
+/// event before a request gives the gateway's state when the request arrived.
 constexpr std::array<std::string_view, 7> kStateEvents = {
   "started",       "draining",           "manifest_in_force", "store_lost",
   "store_reached", "store_history_lost", "peer_lost"
@@ -28,14 +28,15 @@
   return std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
 }
 
-/// Who decided on the request, when, and which endpoints it met.
+/// The log lines of a request, the gateways that wrote them, the endpoints that
+/// they name, and the time span that they cover.
 struct request_trace
 {
   std::vector<std::string> mLines;
-  std::set<std::string> mEntries;
+  std::set<std::string> mGateways;
   std::set<std::string> mEndpoints;
-  std::string mFirst; ///< Times, which sort as texts.
-  std::string mLast;
+  std::string mFirstTime; ///< Times are compared as strings.
+  std::string mLastTime;
 };
 
 void
@@ -58,54 +59,57 @@
       continue;
     }
     trace.mLines.push_back(line);
-    trace.mEntries.insert(LogFieldValue(line, "by"));
+    trace.mGateways.insert(LogFieldValue(line, "by"));
     AddEndpoints(trace.mEndpoints, LogFieldValue(line, "endpoint"));
     AddEndpoints(trace.mEndpoints, LogFieldValue(line, "readers"));
     const std::string time = LogFieldValue(line, "time");
-    trace.mFirst = trace.mFirst.empty() ? time : std::min(trace.mFirst, time);
-    trace.mLast = std::max(trace.mLast, time);
+    trace.mFirstTime =
+      trace.mFirstTime.empty() ? time : std::min(trace.mFirstTime, time);
+    trace.mLastTime = std::max(trace.mLastTime, time);
   }
   return trace;
 }
 
-/// True if a line tells what an entry of the trace believed.
+/// True if a line records a change of known state in one of the trace's
+/// gateways, of that gateway itself or of one of the trace's endpoints.
 bool
 IsStateChange(const std::string& aLine, const request_trace& aTrace)
 {
   const std::string event = LogFieldValue(aLine, "event");
-  const bool known =
+  const bool changesState =
     ContainsName(kStateEvents, event) ||
     (ContainsName(kEndpointStateEvents, event) &&
      aTrace.mEndpoints.contains(LogFieldValue(aLine, "endpoint")));
-  return known && aTrace.mEntries.contains(LogFieldValue(aLine, "by"));
+  return changesState && aTrace.mGateways.contains(LogFieldValue(aLine, "by"));
 }
 
-/// What a process believed ended with it: lines of an entry from before its
-/// newest start say nothing of the request.
+/// Removes a gateway's lines from before its newest start: a gateway process
+/// does not keep its state across a restart.
 void
 DropStatesBeforeRestart(std::map<std::string, std::string>& aBefore)
 {
   std::map<std::string, std::string> started;
-  for (const auto& [subject, line] : aBefore) {
+  for (const auto& [stateKey, line] : aBefore) {
     if (LogFieldValue(line, "event") == "started") {
       started[LogFieldValue(line, "by")] = LogFieldValue(line, "time");
     }
   }
-  std::erase_if(aBefore, [&started](const auto& aEntry) {
-    return LogFieldValue(aEntry.second, "time") <
-           started[LogFieldValue(aEntry.second, "by")];
+  std::erase_if(aBefore, [&started](const auto& aItem) {
+    return LogFieldValue(aItem.second, "time") <
+           started[LogFieldValue(aItem.second, "by")];
   });
 }
 
-/// Lines with the same of this replace each other.
+/// Returns a key for the piece of state that a line records. A newer line
+/// supersedes older lines with the same key.
 std::string
 StateKeyOf(const std::string& aLine)
 {
-  std::string subject;
+  std::string stateKey;
   for (const std::string_view key : { "by", "event", "table", "endpoint" }) {
-    subject += LogFieldValue(aLine, key) + '\n';
+    stateKey += LogFieldValue(aLine, key) + '\n';
   }
-  return subject;
+  return stateKey;
 }
 
 } // namespace
@@ -113,12 +117,12 @@
 std::string
 LogFieldValue(std::string_view aLine, std::string_view aKey)
 {
-  std::size_t at = 0;
-  while ((at = aLine.find(aKey, at)) != std::string_view::npos) {
-    const std::size_t end = at + aKey.size();
-    const bool begins = at == 0 || aLine[at - 1] == ' ';
-    if (!begins || end >= aLine.size() || aLine[end] != '=') {
-      at = end;
+  std::size_t position = 0;
+  while ((position = aLine.find(aKey, position)) != std::string_view::npos) {
+    const std::size_t end = position + aKey.size();
+    const bool startsKey = position == 0 || aLine[position - 1] == ' ';
+    if (!startsKey || end >= aLine.size() || aLine[end] != '=') {
+      position = end;
       continue;
     }
     if (end + 1 < aLine.size() && aLine[end + 1] == '"') {
@@ -138,32 +142,33 @@
   if (trace.mLines.empty()) {
     return {};
   }
-  std::vector<std::string> story = trace.mLines;
-  std::map<std::string, std::string> before;
+  std::vector<std::string> timeline = trace.mLines;
+  std::map<std::string, std::string> statesBefore;
   for (const std::string& line : aLines) {
     if (!IsStateChange(line, trace) ||
         LogFieldValue(line, "request") == aRequest) {
       continue;
     }
     const std::string time = LogFieldValue(line, "time");
-    if (time < trace.mFirst) {
-      std::string& held = before[StateKeyOf(line)];
-      held = held.empty() || LogFieldValue(held, "time") <= time ? line : held;
-    } else if (time <= trace.mLast) {
-      story.push_back(line);
+    if (time < trace.mFirstTime) {
+      std::string& newest = statesBefore[StateKeyOf(line)];
+      newest =
+        newest.empty() || LogFieldValue(newest, "time") <= time ? line : newest;
+    } else if (time <= trace.mLastTime) {
+      timeline.push_back(line);
     }
   }
-  DropStatesBeforeRestart(before);
-  for (const auto& [subject, line] : before) {
-    story.push_back(line);
+  DropStatesBeforeRestart(statesBefore);
+  for (const auto& [stateKey, line] : statesBefore) {
+    timeline.push_back(line);
   }
-  std::stable_sort(story.begin(),
-                   story.end(),
+  std::stable_sort(timeline.begin(),
+                   timeline.end(),
                    [](const std::string& aOne, const std::string& aOther) {
                      return LogFieldValue(aOne, "time") <
                             LogFieldValue(aOther, "time");
                    });
-  return story;
+  return timeline;
 }
 
 } // namespace primrose::control
--- a/Utilities/Control/LogStory.h
+++ b/Utilities/Control/LogStory.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// What the logs of gateways tell of one request: the lines of every decision
-/// on it, and what the entries that made them believed at that time.
+/// Extracts the timeline of one request from gateways' logs: the lines of every
+/// decision on the request, and the lines that give the known state of the
+/// gateways involved at that time.
 
 #include <string>
 #include <string_view>
@@ -9,13 +10,15 @@
 
 namespace primrose::control {
 
-/// The value of a key in a line of key=value pairs; empty if it is not there.
+/// Returns the value of a key in a log line of key=value pairs, or an empty
+/// string if the line does not contain the key.
 std::string
 LogFieldValue(std::string_view aLine, std::string_view aKey);
 
-/// The lines that matter for a request, in the order of time; none if the logs
-/// do not know it. Of each belief (manifest, store, endpoints that it met) the
-/// newest line before the request is given, and all lines until its end.
+/// Returns the lines that concern a request, ordered by time; none if no line
+/// names the request. For each piece of gateway state (manifest, store,
+/// endpoints of the request) this includes the newest line before the request
+/// and all lines up to the request's last one.
 std::vector<std::string>
 RequestTimeline(const std::vector<std::string>& aLines,
                 std::string_view aRequest);
--- a/Utilities/Control/Main.cpp
+++ b/Utilities/Control/Main.cpp
@@ -1,4 +1,4 @@
-/// primrosectl: the operators' tool.
+/// primrosectl: the operators' command-line tool.
 
 #include "Control.h"
 
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr std::size_t kMany = 400; ///< Words: a log of each entry.
+/// Enough for "story" with one log file of each gateway.
+constexpr std::size_t kMaxWords = 400;
 
 constexpr std::array kCommands = {
   command{ "check",
@@ -50,7 +51,7 @@
            "REQUEST LOG...",
            "what gateways' logs tell of a request, and what they believed",
            2,
-           kMany - 1,
+           kMaxWords - 1,
            false,
            &ShowRequestTimeline },
   command{ "status",
@@ -141,7 +142,7 @@
       context.mSettings,
       LoadControlSettings(aValues["settings"].as<std::string>()));
   }
-  return aCommand.mFunction(context);
+  return aCommand.mHandler(context);
 }
 
 int
@@ -166,7 +167,8 @@
       nearest ? fmt::format("; did you mean \"{}\"?", *nearest) : ""));
   }
   aWords.erase(aWords.begin());
-  if (aWords.size() < found->mLeast || aWords.size() > found->mMost) {
+  if (aWords.size() < found->mMinArguments ||
+      aWords.size() > found->mMaxArguments) {
     return ReportUsageError(
       fmt::format("usage: {} {}", found->mName, found->mArguments));
   }
@@ -187,7 +189,7 @@
   control_settings settings;
   settings.mPlatform = reader.RequiredText("platform");
   settings.mOperatorKey = reader.RequiredText("operator_key");
-  settings.mEntries = reader.Texts("entries");
+  settings.mGateways = reader.Texts("entries");
   reader.Finish();
   BOOST_LEAF_CHECK(RequireNoProblems(problems, aFile));
   return settings;
@@ -210,7 +212,7 @@
   all.add(visible).add_options()("words",
                                  options::value<std::vector<std::string>>());
   options::positional_options_description positions;
-  positions.add("words", static_cast<int>(kMany));
+  positions.add("words", static_cast<int>(kMaxWords));
   options::variables_map values;
   try {
     options::store(options::command_line_parser(argc, argv)
--- a/Utilities/Control/SettingsCommands.cpp
+++ b/Utilities/Control/SettingsCommands.cpp
@@ -116,8 +116,8 @@
 {
   std::random_device device;
   std::string key;
-  constexpr int kWords = 8;
-  for (int i = 0; i < kWords; ++i) {
+  constexpr int kRandomWords = 8;
+  for (int i = 0; i < kRandomWords; ++i) {
     key += fmt::format("{:08x}", device());
   }
   if (aContext.mJson) {
