--- a/Tests/Unit/WorldTest.cpp
+++ b/Tests/Unit/WorldTest.cpp
@@ -1,4 +1,4 @@
-/// The engine model and the experiments' world.
+/// Tests of the engine model and of the experiments' simulation.
 
 #include "World.h"
 #include "Experiment.h"
@@ -23,51 +23,51 @@
 }
 
 bench_policy
-Own()
+PrimrosePolicy()
 {
-  bench_policy own;
-  own.mName = "primrose";
-  own.mRules.mFrontSlack = 0.25;
-  return own;
+  bench_policy policy;
+  policy.mName = "primrose";
+  policy.mRules.mFrontSlack = 0.25;
+  return policy;
 }
 
 simulation_result
-RunSmall(const simulation_settings& aWorld,
-         double aLoad,
-         const bench_policy& aPolicy)
+RunWithLoad(const simulation_settings& aSettings,
+            double aLoad,
+            const bench_policy& aPolicy)
 {
   const traffic_mix mix = Mix();
   const double rate =
-    aLoad * NominalCapacity(mix, aWorld.mEngine, aWorld.mEngines);
+    aLoad * NominalCapacity(mix, aSettings.mEngine, aSettings.mEngines);
   const std::vector<arrival> arrivals =
     DrawArrivals(mix, rate, std::chrono::seconds(120), 32768, 3);
-  return RunSimulation(aWorld, aPolicy, mix, arrivals, 3);
+  return RunSimulation(aSettings, aPolicy, mix, arrivals, 3);
 }
 
 std::size_t
-CountOf(const simulation_result& aResult, request_outcome aEnd)
+CountOf(const simulation_result& aResult, request_outcome aOutcome)
 {
   return static_cast<std::size_t>(std::count_if(
     aResult.mRequests.begin(),
     aResult.mRequests.end(),
-    [&](const request_record& aOne) { return aOne.mEnd == aEnd; }));
+    [&](const request_record& aOne) { return aOne.mOutcome == aOutcome; }));
 }
 
 } // namespace
 
-class world_test : public CppUnit::TestFixture
+class simulation_test : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(world_test);
-  CPPUNIT_TEST(EngineReadsThenWrites);
-  CPPUNIT_TEST(EngineKeepsItsMemoryBound);
-  CPPUNIT_TEST(SameSeedSameRun);
-  CPPUNIT_TEST(NothingLeaksWhateverHappens);
-  CPPUNIT_TEST(AllCompleteAtHalfLoad);
+  CPPUNIT_TEST_SUITE(simulation_test);
+  CPPUNIT_TEST(EnginePrefillsThenDecodes);
+  CPPUNIT_TEST(EngineStaysWithinMemoryCapacity);
+  CPPUNIT_TEST(SameSeedGivesSameResult);
+  CPPUNIT_TEST(NoReservationLeaksUnderFaults);
+  CPPUNIT_TEST(AllRequestsCompleteAtHalfLoad);
   CPPUNIT_TEST(LongPromptsAreServedUnderOverload);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void EngineReadsThenWrites()
+  void EnginePrefillsThenDecodes()
   {
     engine_model engine = MakeEngine({});
     engine_job job;
@@ -85,14 +85,15 @@
       all.insert(all.end(), outputs.begin(), outputs.end());
       ++steps;
     }
-    // Three chunks of 1024; the last of them writes the first token.
+    // Three prefill steps of up to 1024 tokens each, of which the last one also
+    // produces the first token, and three decode steps.
     CPPUNIT_ASSERT_EQUAL(6, steps);
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), all.size());
     CPPUNIT_ASSERT(all.back().mLast);
     CPPUNIT_ASSERT_EQUAL(tokens(0), engine.mUsed);
   }
 
-  void EngineKeepsItsMemoryBound()
+  void EngineStaysWithinMemoryCapacity()
   {
     engine_model engine = MakeEngine({});
     engine_job job;
@@ -113,39 +114,41 @@
     CPPUNIT_ASSERT(!Submit(engine, job, kStart));
   }
 
-  void SameSeedSameRun()
+  void SameSeedGivesSameResult()
   {
     const simulation_settings small{ .mEngines = 6 };
-    CPPUNIT_ASSERT(RunSmall(small, 0.8, Own()) == RunSmall(small, 0.8, Own()));
+    CPPUNIT_ASSERT(RunWithLoad(small, 0.8, PrimrosePolicy()) ==
+                   RunWithLoad(small, 0.8, PrimrosePolicy()));
   }
 
-  /// Symptom: engines lose memory for good.
-  /// Sequence: engines die in mid-load, probes are lost, prompts over several
-  /// engines fail half-way, requests run into their time limits.
-  /// Cause: a reservation that is freed on one way out and not on another.
-  void NothingLeaksWhateverHappens()
+  /// Guards against engine memory that stays reserved for good because some
+  /// path out of a request does not release its reservation. Engines crash
+  /// under load, probes are lost, prompts split over several engines fail
+  /// half-way, and requests reach their time limits.
+  void NoReservationLeaksUnderFaults()
   {
     for (const double load : { 0.5, 1.5 }) {
-      simulation_settings rough{ .mEngines = 6 };
-      rough.mEngineCrashes = 3;
-      rough.mProbeLossRate = 0.5;
-      const simulation_result result = RunSmall(rough, load, Own());
+      simulation_settings settings{ .mEngines = 6 };
+      settings.mEngineCrashes = 3;
+      settings.mProbeLossRate = 0.5;
+      const simulation_result result =
+        RunWithLoad(settings, load, PrimrosePolicy());
       CPPUNIT_ASSERT_EQUAL(tokens(0), result.mLeakedTokens);
       CPPUNIT_ASSERT(CountOf(result, request_outcome::Complete) > 0);
     }
   }
 
-  void AllCompleteAtHalfLoad()
+  void AllRequestsCompleteAtHalfLoad()
   {
     const simulation_result result =
-      RunSmall(simulation_settings{ .mEngines = 10 }, 0.5, Own());
+      RunWithLoad(simulation_settings{ .mEngines = 10 }, 0.5, PrimrosePolicy());
     CPPUNIT_ASSERT_EQUAL(result.mRequests.size(),
                          CountOf(result, request_outcome::Complete));
   }
 
-  /// Symptom: the longest prompts never run while the fleet is full.
-  /// Sequence: a third more arrives than the fleet can do.
-  /// Cause: short work that always fits first.
+  /// Guards against starvation of long prompts. The offered load is 1.3 times
+  /// the fleet's capacity, so short requests could always take the free memory
+  /// first.
   void LongPromptsAreServedUnderOverload()
   {
     const traffic_mix mix = Mix();
@@ -155,16 +158,16 @@
     const std::vector<arrival> arrivals =
       DrawArrivals(mix, rate, std::chrono::seconds(120), 32768, 3);
     const simulation_result result =
-      RunSimulation(small, Own(), mix, arrivals, 3);
-    std::size_t longOnes = 0;
+      RunSimulation(small, PrimrosePolicy(), mix, arrivals, 3);
+    std::size_t longRequests = 0;
     std::size_t served = 0;
     for (const request_record& record : result.mRequests) {
       const bool isLong = arrivals[record.mArrival].mShape.mLong;
-      longOnes += isLong ? 1 : 0;
-      served += isLong && record.mEnd == request_outcome::Complete ? 1 : 0;
+      longRequests += isLong ? 1 : 0;
+      served += isLong && record.mOutcome == request_outcome::Complete ? 1 : 0;
     }
-    CPPUNIT_ASSERT(longOnes > 0);
-    CPPUNIT_ASSERT(2 * served > longOnes);
+    CPPUNIT_ASSERT(longRequests > 0);
+    CPPUNIT_ASSERT(2 * served > longRequests);
   }
 };
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(world_test, "world");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(simulation_test, "world");
--- a/Utilities/Bench/Costs.cpp
+++ b/Utilities/Bench/Costs.cpp
@@ -1,5 +1,6 @@
-/// primrose-costs: what decisions cost in time and memory, against the number
-/// of what they look at. docs/CAPACITY.md is worked out from its slopes.
+/// primrose-costs: benchmarks of the time and memory that decisions cost, as a
+/// function of the number of items that they process. docs/CAPACITY.md is
+/// calculated from the slopes.
 
 #include "LibDaemon/LibDaemon.h"
 #include "LibDecision/LibDecision.h"
@@ -25,7 +26,7 @@
 }
 
 work_shape
-Shape(tokens aPrompt)
+MakeShape(tokens aPrompt)
 {
   work_shape shape;
   shape.mModel = "model";
@@ -37,35 +38,35 @@
 }
 
 reservation
-Asked(int aNumber)
+MakeReservation(int aNumber)
 {
-  reservation asked;
-  asked.mRequest = "entry-001.mapo.abcdef01.123456";
-  asked.mAttempt = fmt::format("entry-001-a.abcdef01.{}", aNumber);
-  asked.mShape = Shape(3000);
-  asked.mDeadline = kStart + std::chrono::hours(1);
-  asked.mWaitUntil = kStart + std::chrono::hours(1);
-  asked.mLease = std::chrono::hours(1);
-  return asked;
+  reservation wanted;
+  wanted.mRequest = "entry-001.mapo.abcdef01.123456";
+  wanted.mAttempt = fmt::format("entry-001-a.abcdef01.{}", aNumber);
+  wanted.mShape = MakeShape(3000);
+  wanted.mDeadline = kStart + std::chrono::hours(1);
+  wanted.mWaitUntil = kStart + std::chrono::hours(1);
+  wanted.mLease = std::chrono::hours(1);
+  return wanted;
 }
 
 agent_board
-AgentWithReservations(int aWork)
+AgentWithReservations(int aReservations)
 {
   engine_shape shape;
   shape.mCapacity = 100000000;
   shape.mLargestBatch = 100000;
   agent_limits limits;
   limits.mLongestQueue = 100000;
-  agent_board board = MakeAgentBoard("model", shape, limits, time_point{});
-  for (int i = 0; i < aWork; ++i) {
-    Reserve(board, Asked(i), kStart);
+  agent_board agent = MakeAgentBoard("model", shape, limits, time_point{});
+  for (int i = 0; i < aReservations; ++i) {
+    Reserve(agent, MakeReservation(i), kStart);
   }
-  return board;
+  return agent;
 }
 
 std::vector<listed_endpoint>
-Endpoints(std::int64_t aCount)
+MakeEndpoints(std::int64_t aCount)
 {
   std::vector<listed_endpoint> list;
   for (std::int64_t i = 0; i < aCount; ++i) {
@@ -81,7 +82,7 @@
 }
 
 json
-TreeOf(std::int64_t aOrganisations)
+MakeSettingsDocument(std::int64_t aOrganisations)
 {
   json organisations = json::object();
   for (std::int64_t i = 0; i < aOrganisations; ++i) {
@@ -106,10 +107,10 @@
 void
 ProbeAgainstWork(benchmark::State& aState)
 {
-  agent_board board = AgentWithReservations(static_cast<int>(aState.range(0)));
-  const work_shape shape = Shape(3000);
+  agent_board agent = AgentWithReservations(static_cast<int>(aState.range(0)));
+  const work_shape shape = MakeShape(3000);
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(Probe(board, shape, kStart));
+    benchmark::DoNotOptimize(Probe(agent, shape, kStart));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -120,10 +121,10 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    agent_board board =
+    agent_board agent =
       AgentWithReservations(static_cast<int>(aState.range(0)));
     aState.ResumeTiming();
-    benchmark::DoNotOptimize(Dispatch(board, kStart));
+    benchmark::DoNotOptimize(Dispatch(agent, kStart));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -139,9 +140,9 @@
   double bytes = 0;
   for (auto _ : aState) {
     const double before = HeapBytes();
-    const agent_board board = AgentWithReservations(count);
+    const agent_board agent = AgentWithReservations(count);
     bytes = HeapBytes() - before;
-    benchmark::DoNotOptimize(&board);
+    benchmark::DoNotOptimize(&agent);
   }
   aState.counters["bytes_each"] = bytes / count;
 }
@@ -151,7 +152,7 @@
 UsableAgainstEndpoints(benchmark::State& aState)
 {
   endpoint_directory directory;
-  ApplyList(directory, Endpoints(aState.range(0)), kStart);
+  ApplyList(directory, MakeEndpoints(aState.range(0)), kStart);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(Usable(directory, "model-1", kStart));
   }
@@ -163,7 +164,7 @@
 ApplyListAgainstEndpoints(benchmark::State& aState)
 {
   endpoint_directory directory;
-  const std::vector<listed_endpoint> list = Endpoints(aState.range(0));
+  const std::vector<listed_endpoint> list = MakeEndpoints(aState.range(0));
   const double before = HeapBytes();
   ApplyList(directory, list, kStart);
   aState.counters["bytes_each"] =
@@ -183,11 +184,11 @@
 ChooseAgainstEndpoints(benchmark::State& aState)
 {
   std::vector<std::string> names;
-  for (const listed_endpoint& one : Endpoints(aState.range(0))) {
+  for (const listed_endpoint& one : MakeEndpoints(aState.range(0))) {
     names.push_back(one.mName);
   }
   random_engine random(1);
-  const work_shape shape = Shape(3000);
+  const work_shape shape = MakeShape(3000);
   const placement_memory memory;
   const placement_rules rules;
   for (auto _ : aState) {
@@ -213,7 +214,7 @@
     one.mAnswer.mFirstTokenSeconds = static_cast<double>(i * 7919 % 100);
     candidates.push_back(one);
   }
-  const work_shape shape = Shape(3000);
+  const work_shape shape = MakeShape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(RankCandidates(
       candidates, shape, placement_rules{}, engine_shape{}, false));
@@ -225,7 +226,7 @@
 void
 ResolveAgainstOrganisations(benchmark::State& aState)
 {
-  const json document = TreeOf(aState.range(0));
+  const json document = MakeSettingsDocument(aState.range(0));
   settings_problems problems;
   const double before = HeapBytes();
   const std::unique_ptr<settings_tree> tree =
@@ -248,7 +249,7 @@
 void
 ReadTreeAgainstOrganisations(benchmark::State& aState)
 {
-  const json document = TreeOf(aState.range(0));
+  const json document = MakeSettingsDocument(aState.range(0));
   for (auto _ : aState) {
     settings_problems problems;
     benchmark::DoNotOptimize(settings_tree::Read(document, problems));
@@ -331,9 +332,9 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    claim_board board;
+    claim_board claims;
     for (std::int64_t i = 0; i < aState.range(0); ++i) {
-      WantClaim(board,
+      WantClaim(claims,
                 fmt::format("key-{}", i),
                 fmt::format("attempt-{}", i),
                 1,
@@ -342,13 +343,13 @@
                 wall_time{});
     }
     aState.ResumeTiming();
-    benchmark::DoNotOptimize(TakeWrites(board, kStart));
+    benchmark::DoNotOptimize(TakeWrites(claims, kStart));
   }
   aState.SetComplexityN(aState.range(0));
 }
 BENCHMARK(ClaimsAgainstWaiting)->Arg(1)->Arg(10)->Arg(100)->Complexity();
 
-/// An agent that only answers probes, for the cost of a connection.
+/// An agent that only answers probes. Used to measure the cost of a connection.
 class stub_agent final : public wire::Agent::Server
 {
 public:
@@ -377,11 +378,11 @@
 }
 
 kj::Promise<probe_answer>
-ProbeOver(agent_link& aLink)
+SendProbe(agent_link& aLink)
 {
   return aLink.Get().then([](wire::Agent::Client aAgent) {
     auto request = aAgent.probeRequest();
-    ToWire(Shape(3000), request.initQuery());
+    ToWire(MakeShape(3000), request.initQuery());
     return request.send().then(
       [](capnp::Response<wire::Agent::ProbeResults> aResponse) {
         return FromWire(aResponse.getAnswer());
@@ -389,7 +390,8 @@
   });
 }
 
-/// Both ends are in this process, so an end costs half of what is counted.
+/// Both ends of each connection are in this process, so one end costs half of
+/// the measured bytes.
 void
 ConnectionMemory(benchmark::State& aState)
 {
@@ -405,7 +407,7 @@
     for (std::int64_t i = 0; i < aState.range(0); ++i) {
       links.push_back(std::make_unique<agent_link>(
         (*server.mValue)->Address(), "key", "caller"));
-      ProbeOver(*links.back()).wait(loop.Scope());
+      SendProbe(*links.back()).wait(loop.Scope());
     }
     bytes = HeapBytes() - before;
   }
@@ -422,10 +424,10 @@
       return rpc_server::Open({ "127.0.0.1", 0 }, kj::heap<stub_gate>());
     });
   agent_link link((*server.mValue)->Address(), "key", "caller");
-  ProbeOver(link).wait(loop.Scope());
+  SendProbe(link).wait(loop.Scope());
   const stream_traffic before = TrafficSoFar();
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(ProbeOver(link).wait(loop.Scope()));
+    benchmark::DoNotOptimize(SendProbe(link).wait(loop.Scope()));
   }
   const double sent = static_cast<double>(TrafficSoFar().mSent - before.mSent);
   aState.counters["bytes_each"] =
--- a/Utilities/Bench/Experiment.cpp
+++ b/Utilities/Bench/Experiment.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-constexpr tokens kShortLimit = 8000;
-constexpr tokens kLongLimit = 100000;
+constexpr tokens kMaxShortPrompt = 8000;
+constexpr tokens kMaxMiddlePrompt = 100000;
 constexpr tokens kUnbounded = tokens{ 1 } << 60;
 
-/// A baseline: requests go straight to the engine's queue, in their order.
+/// A baseline policy: requests go straight to the engine's queue and run in the
+/// order of their arrival.
 bench_policy
 Baseline(const std::string& aName, placement_kind aKind)
 {
@@ -48,38 +49,38 @@
     return Baseline(aName, baseline->second);
   }
   if (aName == "shortest-queue-parts") {
-    // The best baseline with our cutting of long prompts, to tell the two
-    // apart.
-    bench_policy cutting = Baseline(aName, placement_kind::ShortestQueue);
-    cutting.mRules = RulesOf(aValues);
-    return cutting;
+    // The best baseline plus primrose's splitting of long prompts, to measure
+    // the effect of the splitting separately.
+    bench_policy withParts = Baseline(aName, placement_kind::ShortestQueue);
+    withParts.mRules = RulesOf(aValues);
+    return withParts;
   }
-  bench_policy own;
-  own.mName = aName;
-  own.mRules = RulesOf(aValues);
-  own.mLimits = LimitsOf(aValues);
-  own.mAttempts = static_cast<unsigned>(aValues.mAttempts);
-  own.mLongAttempts = static_cast<unsigned>(aValues.mLongAttempts);
-  // Our policy with one part taken out, to see what the part is worth.
+  bench_policy primrosePolicy;
+  primrosePolicy.mName = aName;
+  primrosePolicy.mRules = RulesOf(aValues);
+  primrosePolicy.mLimits = LimitsOf(aValues);
+  primrosePolicy.mAttempts = static_cast<unsigned>(aValues.mAttempts);
+  primrosePolicy.mLongAttempts = static_cast<unsigned>(aValues.mLongAttempts);
+  // The primrose policy with one part disabled, to measure that part's effect.
   if (aName == "primrose") {
-    return own;
+    return primrosePolicy;
   }
   if (aName == "primrose-no-packing") {
-    own.mRules.mFrontSlack = 0;
-    return own;
+    primrosePolicy.mRules.mFrontSlack = 0;
+    return primrosePolicy;
   }
   if (aName == "primrose-no-priorities") {
-    own.mEnginePriorities = false;
-    return own;
+    primrosePolicy.mEnginePriorities = false;
+    return primrosePolicy;
   }
   if (aName == "primrose-no-cache") {
-    own.mRules.mUseCache = false;
-    return own;
+    primrosePolicy.mRules.mUseCache = false;
+    return primrosePolicy;
   }
   if (aName == "primrose-no-parts") {
-    own.mRules.mLongSpread = 1;
-    own.mRules.mLongPart = kUnbounded;
-    return own;
+    primrosePolicy.mRules.mLongSpread = 1;
+    primrosePolicy.mRules.mLongPart = kUnbounded;
+    return primrosePolicy;
   }
   return Fail(error_kind::SettingsInvalid,
               fmt::format("/policies: there is no policy \"{}\"", aName));
@@ -93,25 +94,27 @@
 {
   object_reader reader(
     aNode.is_object() ? &aNode : nullptr, "/classes/" + aName, aProblems);
-  length_class one;
-  one.mName = aName;
-  one.mWeight =
-    reader.Number("weight", { 0, 1e6, "weight" }).value_or(one.mWeight);
-  one.mLeast =
-    reader.Number("least", { 1, 1e8, "tokens" }).value_or(one.mLeast);
-  one.mMost = reader.Number("most", { 1, 1e8, "tokens" }).value_or(one.mMost);
-  one.mMeanOutput = reader.Number("mean_output", { 4, 1e5, "tokens" })
-                      .value_or(one.mMeanOutput);
-  one.mPriority = static_cast<unsigned>(
-    reader.Number("priority", { 0, 3, "class" }).value_or(one.mPriority));
-  one.mTimeLimitSeconds =
+  length_class lengthClass;
+  lengthClass.mName = aName;
+  lengthClass.mWeight =
+    reader.Number("weight", { 0, 1e6, "weight" }).value_or(lengthClass.mWeight);
+  lengthClass.mMinPromptTokens = reader.Number("least", { 1, 1e8, "tokens" })
+                                   .value_or(lengthClass.mMinPromptTokens);
+  lengthClass.mMaxPromptTokens = reader.Number("most", { 1, 1e8, "tokens" })
+                                   .value_or(lengthClass.mMaxPromptTokens);
+  lengthClass.mMeanOutput = reader.Number("mean_output", { 4, 1e5, "tokens" })
+                              .value_or(lengthClass.mMeanOutput);
+  lengthClass.mPriority =
+    static_cast<unsigned>(reader.Number("priority", { 0, 3, "class" })
+                            .value_or(lengthClass.mPriority));
+  lengthClass.mTimeLimitSeconds =
     reader.Number("time_limit_s", { 0.1, 86400, "seconds" })
-      .value_or(one.mTimeLimitSeconds);
+      .value_or(lengthClass.mTimeLimitSeconds);
   reader.Finish();
-  if (one.mMost < one.mLeast) {
+  if (lengthClass.mMaxPromptTokens < lengthClass.mMinPromptTokens) {
     reader.Report("most", "expected at least \"least\"");
   }
-  aMix.mClasses.push_back(std::move(one));
+  aMix.mClasses.push_back(std::move(lengthClass));
 }
 
 void
@@ -122,25 +125,25 @@
 {
   object_reader reader(
     aNode.is_object() ? &aNode : nullptr, "/organisations/" + aName, aProblems);
-  organisation_share one;
-  one.mName = aName;
-  one.mWeight = reader.Number("weight", { 0, 1e6, "weight" }).value_or(1);
-  one.mShareWeight =
+  organisation_share share;
+  share.mName = aName;
+  share.mWeight = reader.Number("weight", { 0, 1e6, "weight" }).value_or(1);
+  share.mShareWeight =
     reader.Number("share_weight", { 0.01, 1000, "weight" }).value_or(1);
   reader.Finish();
-  aMix.mOrganisations.push_back(std::move(one));
+  aMix.mOrganisations.push_back(std::move(share));
 }
 
 void
-ReadWorld(object_reader& aReader, simulation_settings& aWorld)
+ReadSimulationSettings(object_reader& aReader, simulation_settings& aSettings)
 {
-  aWorld.mEngines = static_cast<std::size_t>(
+  aSettings.mEngines = static_cast<std::size_t>(
     aReader.Number("engines", { 1, 2000, "engines" }).value_or(20));
-  aWorld.mEntries = static_cast<std::size_t>(
+  aSettings.mGateways = static_cast<std::size_t>(
     aReader.Number("entries", { 1, 1000, "entries" }).value_or(4));
-  aWorld.mProbeLossRate =
+  aSettings.mProbeLossRate =
     aReader.Number("lost_probes", { 0, 1, "part" }).value_or(0);
-  aWorld.mEngineCrashes = static_cast<std::size_t>(
+  aSettings.mEngineCrashes = static_cast<std::size_t>(
     aReader.Number("deaths", { 0, 2000, "engines" }).value_or(0));
 }
 
@@ -152,9 +155,9 @@
                 "/loads: expected a list of numbers");
   }
   for (const json& load : aDocument["loads"]) {
-    constexpr double kMost = 20;
-    const bool good =
-      load.is_number() && load.get<double>() > 0 && load.get<double>() <= kMost;
+    constexpr double kMaxLoad = 20;
+    const bool good = load.is_number() && load.get<double>() > 0 &&
+                      load.get<double>() <= kMaxLoad;
     if (!good) {
       return Fail(error_kind::SettingsInvalid,
                   "/loads: expected numbers over 0 and up to 20, found " +
@@ -171,11 +174,11 @@
   const double prompt = static_cast<double>(aArrival.mShape.mPromptTokens);
   const double chunk = static_cast<double>(aEngine.mChunk);
   const double steps = std::ceil(prompt / chunk);
-  const double reading =
+  const double prefill =
     steps * aEngine.mBaseStepSeconds + prompt / aEngine.mPrefillTokensPerSecond;
-  const double writing =
+  const double decode =
     static_cast<double>(aArrival.mOutput - 1) * StepSeconds(aEngine, 1, 0, 0);
-  return reading + writing;
+  return prefill + decode;
 }
 
 sample
@@ -185,19 +188,19 @@
 {
   sample slowdowns;
   for (const request_record& record : aResult.mRequests) {
-    const arrival& own = aArrivals[record.mArrival];
-    if (own.mShape.mPromptTokens <= kShortLimit &&
-        record.mEnd == request_outcome::Complete) {
+    const arrival& request = aArrivals[record.mArrival];
+    if (request.mShape.mPromptTokens <= kMaxShortPrompt &&
+        record.mOutcome == request_outcome::Complete) {
       slowdowns.mValues.push_back(record.mSecondsToEnd /
-                                  IdleEngineSeconds(own, aEngine));
+                                  IdleEngineSeconds(request, aEngine));
     }
   }
   std::sort(slowdowns.mValues.begin(), slowdowns.mValues.end());
   return slowdowns;
 }
 
-/// The distance of each organisation's served part from its fair part, where
-/// all of them ask for more than that.
+/// Largest deviation of an organisation's part of the served work from its fair
+/// share. Meaningful only if every organisation asks for more than that.
 double
 ShareError(const experiment& aExperiment,
            const simulation_result& aResult,
@@ -206,36 +209,40 @@
   const std::vector<organisation_share>& shares =
     aExperiment.mMix.mOrganisations;
   std::vector<double> served(shares.size());
-  double all = 0;
+  double total = 0;
   double weights = 0;
-  for (const organisation_share& one : shares) {
-    weights += one.mShareWeight;
+  for (const organisation_share& share : shares) {
+    weights += share.mShareWeight;
   }
-  const time_point end = aArrivals.back().mAt;
+  const time_point end = aArrivals.back().mTime;
   for (const request_record& record : aResult.mRequests) {
-    const arrival& own = aArrivals[record.mArrival];
-    const bool inTime = own.mAt + FromSeconds(record.mSecondsToEnd) <= end;
-    if (record.mEnd == request_outcome::Complete && inTime) {
-      const double cost =
-        NominalCost(own.mShape, own.mOutput, aExperiment.mWorld.mEngine);
-      served[own.mOrganisation] += cost;
-      all += cost;
+    const arrival& request = aArrivals[record.mArrival];
+    const bool inTime =
+      request.mTime + FromSeconds(record.mSecondsToEnd) <= end;
+    if (record.mOutcome == request_outcome::Complete && inTime) {
+      const double cost = NominalCost(
+        request.mShape, request.mOutput, aExperiment.mSimulation.mEngine);
+      served[request.mOrganisation] += cost;
+      total += cost;
     }
   }
   double error = 0;
-  for (std::size_t i = 0; i < shares.size() && all > 0; ++i) {
+  for (std::size_t i = 0; i < shares.size() && total > 0; ++i) {
     const double fair = shares[i].mShareWeight / weights;
-    error = std::max(error, std::abs(served[i] / all - fair));
+    error = std::max(error, std::abs(served[i] / total - fair));
   }
   return error;
 }
 
 void
-Count(run_summary& aSummary, const request_record& aRecord)
+CountOutcome(run_summary& aSummary, const request_record& aRecord)
 {
-  aSummary.mComplete += aRecord.mEnd == request_outcome::Complete ? 1 : 0;
-  aSummary.mRefused += aRecord.mEnd == request_outcome::Refused ? 1 : 0;
-  aSummary.mTimedOutCount += aRecord.mEnd == request_outcome::Late ? 1 : 0;
+  aSummary.mCompleteCount +=
+    aRecord.mOutcome == request_outcome::Complete ? 1 : 0;
+  aSummary.mRefusedCount +=
+    aRecord.mOutcome == request_outcome::Refused ? 1 : 0;
+  aSummary.mTimedOutCount +=
+    aRecord.mOutcome == request_outcome::TimedOut ? 1 : 0;
 }
 
 run_summary
@@ -243,46 +250,51 @@
             const bench_policy& aPolicy,
             double aLoad)
 {
-  const engine_shape& engine = aExperiment.mWorld.mEngine;
+  const engine_shape& engine = aExperiment.mSimulation.mEngine;
   const double rate =
     aLoad *
-    NominalCapacity(aExperiment.mMix, engine, aExperiment.mWorld.mEngines);
+    NominalCapacity(aExperiment.mMix, engine, aExperiment.mSimulation.mEngines);
   const std::vector<arrival> arrivals =
     DrawArrivals(aExperiment.mMix,
                  rate,
                  FromSeconds(aExperiment.mSeconds),
-                 aExperiment.mLongPrompt,
+                 aExperiment.mLongPromptTokens,
                  aExperiment.mSeed);
-  const simulation_result result = RunSimulation(
-    aExperiment.mWorld, aPolicy, aExperiment.mMix, arrivals, aExperiment.mSeed);
+  const simulation_result result = RunSimulation(aExperiment.mSimulation,
+                                                 aPolicy,
+                                                 aExperiment.mMix,
+                                                 arrivals,
+                                                 aExperiment.mSeed);
   run_summary summary;
   summary.mPolicy = aPolicy.mName;
   summary.mLoad = aLoad;
   summary.mArrivalCount = arrivals.size();
   double served = 0;
   for (const request_record& record : result.mRequests) {
-    const arrival& own = arrivals[record.mArrival];
-    Count(summary, record);
-    if (record.mEnd != request_outcome::Complete) {
+    const arrival& request = arrivals[record.mArrival];
+    CountOutcome(summary, record);
+    if (record.mOutcome != request_outcome::Complete) {
       continue;
     }
-    served += NominalCost(own.mShape, own.mOutput, engine);
-    const tokens length = own.mShape.mPromptTokens;
-    sample& first = length <= kShortLimit  ? summary.mShortFirstToken
-                    : length <= kLongLimit ? summary.mMiddleFirstToken
-                                           : summary.mLongFirstToken;
-    first.mValues.push_back(record.mSecondsToFirstToken);
+    served += NominalCost(request.mShape, request.mOutput, engine);
+    const tokens length = request.mShape.mPromptTokens;
+    sample& firstTokens = length <= kMaxShortPrompt ? summary.mShortFirstToken
+                          : length <= kMaxMiddlePrompt
+                            ? summary.mMiddleFirstToken
+                            : summary.mLongFirstToken;
+    firstTokens.mValues.push_back(record.mSecondsToFirstToken);
   }
-  for (sample* const one : { &summary.mShortFirstToken,
-                             &summary.mMiddleFirstToken,
-                             &summary.mLongFirstToken }) {
-    std::sort(one->mValues.begin(), one->mValues.end());
+  for (sample* const firstTokens : { &summary.mShortFirstToken,
+                                     &summary.mMiddleFirstToken,
+                                     &summary.mLongFirstToken }) {
+    std::sort(firstTokens->mValues.begin(), firstTokens->mValues.end());
   }
   const double engineSeconds =
-    aExperiment.mSeconds * static_cast<double>(aExperiment.mWorld.mEngines);
+    aExperiment.mSeconds *
+    static_cast<double>(aExperiment.mSimulation.mEngines);
   const double offered = static_cast<double>(arrivals.size());
   summary.mGoodput = served / engineSeconds;
-  summary.mBusy = result.mBusySeconds / engineSeconds;
+  summary.mUtilisation = result.mBusySeconds / engineSeconds;
   summary.mProbesPerRequest = static_cast<double>(result.mProbes) / offered;
   summary.mReservationsPerRequest =
     static_cast<double>(result.mReservations) / offered;
@@ -290,13 +302,13 @@
   summary.mShareError = ShareError(aExperiment, result, arrivals);
   summary.mShortSlowdown = ShortSlowdowns(result, arrivals, engine);
   std::vector<arrival> shortOnly;
-  for (const arrival& one : arrivals) {
-    if (!one.mShape.mLong) {
-      shortOnly.push_back(one);
+  for (const arrival& request : arrivals) {
+    if (!request.mShape.mLong) {
+      shortOnly.push_back(request);
     }
   }
   summary.mShortSlowdownWithoutLong =
-    ShortSlowdowns(RunSimulation(aExperiment.mWorld,
+    ShortSlowdowns(RunSimulation(aExperiment.mSimulation,
                                  aPolicy,
                                  aExperiment.mMix,
                                  shortOnly,
@@ -309,7 +321,7 @@
 } // namespace
 
 double
-sample::At(double aPart) const
+sample::Quantile(double aPart) const
 {
   if (mValues.empty()) {
     return 0;
@@ -328,7 +340,7 @@
   experiment read;
   read.mName = reader.RequiredText("name");
   const std::string treeFile = reader.RequiredText("tree");
-  ReadWorld(reader, read.mWorld);
+  ReadSimulationSettings(reader, read.mSimulation);
   read.mSeconds =
     reader.Number("seconds", { 1, 86400, "seconds" }).value_or(read.mSeconds);
   read.mSeed = static_cast<std::uint64_t>(
@@ -340,7 +352,8 @@
   const json* const organisations = reader.Object("organisations");
   reader.Expect("loads");
   reader.Finish();
-  // NOTE: Named, since a loop over items() of a temporary would outlive it.
+  // NOTE: A named object, because the loop over items() would outlive a
+  // temporary.
   const json none = json::object();
   const json& classNodes = classes == nullptr ? none : *classes;
   const json& organisationNodes =
@@ -364,11 +377,11 @@
     return Fail(error_kind::SettingsInvalid, treeFile + ": has no model");
   }
   const model_settings& model = tree.Models().begin()->second;
-  read.mWorld.mEngine = ShapeOf(model);
+  read.mSimulation.mEngine = ShapeOf(model);
   const policy values = tree.Resolve({});
-  read.mLongPrompt = static_cast<tokens>(values.mLongPromptTokens);
-  read.mWorld.mQueueWaitSeconds = values.mQueueWaitSeconds;
-  read.mWorld.mLongQueueWaitSeconds = values.mLongQueueWaitSeconds;
+  read.mLongPromptTokens = static_cast<tokens>(values.mLongPromptTokens);
+  read.mSimulation.mQueueWaitSeconds = values.mQueueWaitSeconds;
+  read.mSimulation.mLongQueueWaitSeconds = values.mLongQueueWaitSeconds;
   for (const std::string& name : policies) {
     BOOST_LEAF_ASSIGN(bench_policy one, MakeBenchPolicy(name, values));
     read.mPolicies.push_back(std::move(one));
@@ -381,15 +394,15 @@
               std::size_t aThreads,
               const std::function<void(std::size_t, std::size_t)>& aProgress)
 {
-  struct planned
+  struct planned_run
   {
     const bench_policy* mPolicy;
     double mLoad;
   };
-  std::vector<planned> runs;
+  std::vector<planned_run> runs;
   for (const double load : aExperiment.mLoads) {
-    for (const bench_policy& one : aExperiment.mPolicies) {
-      runs.push_back({ &one, load });
+    for (const bench_policy& policy : aExperiment.mPolicies) {
+      runs.push_back({ &policy, load });
     }
   }
   std::vector<run_summary> summaries(runs.size());
--- a/Utilities/Bench/Experiment.h
+++ b/Utilities/Bench/Experiment.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// An experiment file: fleet, traffic, loads and policies, and the runs that
-/// follow from it.
+/// Reads an experiment file (fleet, traffic, loads and policies) and simulates
+/// each of its policies at each of its loads.
 
 #include "LibRules/LibRules.h"
 #include "World.h"
@@ -15,26 +15,27 @@
 struct experiment
 {
   std::string mName;
-  simulation_settings mWorld;
+  simulation_settings mSimulation;
   traffic_mix mMix;
-  std::vector<double> mLoads; ///< Parts of the nominal capacity.
+  std::vector<double> mLoads; ///< Fractions of the nominal capacity.
   std::vector<bench_policy> mPolicies;
   double mSeconds = 600;
   std::uint64_t mSeed = 1;
-  tokens mLongPrompt = 32768;
+  tokens mLongPromptTokens = 32768;
 
   bool operator==(const experiment&) const = default;
 };
 
-/// Reads and checks an experiment file; the tree it names is relative to it.
+/// Reads and validates an experiment file. The path of the settings tree in it
+/// is relative to the file's folder.
 result<experiment>
 LoadExperiment(const std::string& aFile);
 
-/// Sample values and their count; percentiles are of the sample itself.
+/// Sorted sample values. Quantiles are sample values, without interpolation.
 struct sample
 {
   std::vector<double> mValues;
-  double At(double aPart) const;
+  double Quantile(double aPart) const;
   bool operator==(const sample&) const = default;
 };
 
@@ -43,28 +44,29 @@
   std::string mPolicy;
   double mLoad = 0;
   std::size_t mArrivalCount = 0;
-  std::size_t mComplete = 0;
-  std::size_t mRefused = 0;
+  std::size_t mCompleteCount = 0;
+  std::size_t mRefusedCount = 0;
   std::size_t mTimedOutCount = 0;
-  double mGoodput =
-    0; ///< Nominal engine-seconds completed a second, over the fleet's.
-  double mBusy = 0;
+  double mGoodput = 0; ///< Nominal engine-seconds of completed requests, as a
+                       ///< fraction of all engine-seconds.
+  double mUtilisation = 0;
   sample mShortSlowdown;
-  sample
-    mShortSlowdownWithoutLong; ///< The same short requests, no long ones there.
+  sample mShortSlowdownWithoutLong; ///< The same short requests run without the
+                                    ///< long ones.
   sample mShortFirstToken;
   sample mMiddleFirstToken;
   sample mLongFirstToken; ///< Prompts over 100,000 tokens.
   double mProbesPerRequest = 0;
   double mReservationsPerRequest = 0;
-  double mShareError = 0; ///< Largest distance from a fair share.
+  double mShareError = 0; ///< Largest deviation from a fair share.
   tokens mLeakedTokens = 0;
 
   bool operator==(const run_summary&) const = default;
 };
 
-/// Runs every policy at every load, a few at a time; `aProgress` is called
-/// from the calling thread after each run.
+/// Simulates every policy at every load, `aThreads` runs at a time. After each
+/// run `aProgress` is called in the calling thread with the number of finished
+/// runs and of all runs.
 std::vector<run_summary>
 RunExperiment(const experiment& aExperiment,
               std::size_t aThreads,
--- a/Utilities/Bench/GatewayCosts.cpp
+++ b/Utilities/Bench/GatewayCosts.cpp
@@ -1,5 +1,5 @@
-/// What the gateway's decisions cost on each request and each event of a
-/// stream, against the number of engines.
+/// Benchmarks of the gateway's work for each request and for each event of a
+/// stream, as a function of the number of engines.
 
 #include "SampleEngine.h"
 
@@ -19,19 +19,19 @@
 constexpr double kLongPrompt = 154000;
 
 engine_work
-Work(double aTokens)
+MakeRequest(double aTokens)
 {
-  engine_work work;
-  work.mService = "model";
-  work.mPromptTokens = aTokens;
-  work.mAnswerTokens = 1600;
-  work.mLongestPause = std::chrono::milliseconds(250);
-  work.mObjective = std::chrono::milliseconds(300);
-  work.mWorth = WorthOfWork(aTokens);
-  return work;
+  engine_work request;
+  request.mService = "model";
+  request.mPromptTokens = aTokens;
+  request.mAnswerTokens = 1600;
+  request.mLongestPause = std::chrono::milliseconds(250);
+  request.mObjective = std::chrono::milliseconds(300);
+  request.mWorth = WorthOfWork(aTokens);
+  return request;
 }
 
-/// Engines on a third of which ten streams each are written.
+/// A fleet in which every third engine decodes ten streams.
 struct loaded_fleet
 {
   explicit loaded_fleet(std::int64_t aEngines)
@@ -41,18 +41,18 @@
       listed.mId = fmt::format("i-{:08x}", i);
       listed.mService = "model";
       listed.mDataCentre = i % 2 == 0 ? "a" : "b";
-      (void)ApplyRow(mBoard, { listed.mId, 1, listed });
+      (void)ApplyRow(mEndpoints, { listed.mId, 1, listed });
       constexpr int kStreams = 10;
       for (int stream = 0; i % 3 == 0 && stream < kStreams; ++stream) {
-        NotePlaced(mLedger, Placed(EngineKey(listed.mId)), kStart);
+        NotePlaced(mLedger, MakePlacement(EngineKey(listed.mId)), kStart);
       }
     }
   }
 
-  placement Placed(engine_key aEngine)
+  placement MakePlacement(engine_key aEngine)
   {
     placement placed;
-    placed.mKey = ++mLast;
+    placed.mKey = ++mLastKey;
     placed.mEngines.push_back(aEngine);
     placed.mPartMs = 1;
     placed.mLongestPause = std::chrono::milliseconds(250);
@@ -62,9 +62,9 @@
     return placed;
   }
 
-  endpoint_board mBoard;
+  endpoint_board mEndpoints;
   engine_ledger mLedger;
-  placement_key mLast = 0;
+  placement_key mLastKey = 0;
 };
 
 void
@@ -72,10 +72,10 @@
 {
   loaded_fleet fleet(aState.range(0));
   const engine_timing timing = SampleEngine();
-  const engine_work work = Work(aTokens);
+  const engine_work request = MakeRequest(aTokens);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(PlaceOnEngines(
-      fleet.mBoard, fleet.mLedger, timing, work, {}, "a", kStart));
+      fleet.mEndpoints, fleet.mLedger, timing, request, {}, "a", kStart));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -96,7 +96,7 @@
   loaded_fleet fleet(aState.range(0));
   const engine_key engine = EngineKey("i-00000000");
   for (auto _ : aState) {
-    const placement placed = fleet.Placed(engine);
+    const placement placed = fleet.MakePlacement(engine);
     NotePlaced(fleet.mLedger, placed, kStart);
     NoteEnded(fleet.mLedger, placed.mKey, placement_end::Read, kStart);
   }
@@ -123,21 +123,22 @@
 {
   std::string text = "POST /route12/2f HTTP/1.1\r\nHost: h.example\r\n"
                      "Content-Length: 0\r\n";
-  // As many fields as callers of both deployments send.
+  // The number of header fields that callers of both deployments send.
   constexpr int kFields = 6;
   for (int i = 0; i < kFields; ++i) {
     AppendField(text, fmt::format("Field-{}", i), "5c1e07a2:40,91bd3f06:4960");
   }
   text += "\r\n";
-  forwarding to;
-  to.mEndpointId = "i-7f3a91c2";
-  to.mTimeLeft = std::chrono::seconds(9);
-  to.mOrganisation = "hule930";
+  forwarding forwardTo;
+  forwardTo.mEndpointId = "i-7f3a91c2";
+  forwardTo.mTimeLeft = std::chrono::seconds(9);
+  forwardTo.mOrganisation = "hule930";
   for (auto _ : aState) {
     std::string bytes = text;
     http_reader reader(http_role::Request, http_limits{ 16384, 65536 });
     (void)reader.Read(bytes);
-    benchmark::DoNotOptimize(platform::WriteRequest(reader.Head(), to, 0));
+    benchmark::DoNotOptimize(
+      platform::WriteRequest(reader.Head(), forwardTo, 0));
   }
 }
 BENCHMARK(HeadRewritten);
--- a/Utilities/Bench/Mix.cpp
+++ b/Utilities/Bench/Mix.cpp
@@ -20,10 +20,10 @@
   for (const T& item : aItems) {
     sum += item.mWeight;
   }
-  double at = Uniform(aRandom) * sum;
+  double position = Uniform(aRandom) * sum;
   for (std::size_t i = 0; i < aItems.size(); ++i) {
-    at -= aItems[i].mWeight;
-    if (at < 0) {
+    position -= aItems[i].mWeight;
+    if (position < 0) {
       return i;
     }
   }
@@ -31,36 +31,41 @@
 }
 
 double
-LogUniform(random_engine& aRandom, double aLeast, double aMost)
+LogUniform(random_engine& aRandom, double aMin, double aMax)
 {
-  return aLeast * std::pow(aMost / aLeast, Uniform(aRandom));
+  return aMin * std::pow(aMax / aMin, Uniform(aRandom));
 }
 
-/// Marks of a prompt that shares its first part with others of the prefix.
+/// Draws the prefix hashes of a prompt. Prompts with the same shared prefix
+/// have equal hashes for the lengths that it covers.
 std::vector<std::uint64_t>
 DrawPrefixHashes(const traffic_mix& aMix,
                  tokens aPrompt,
                  std::uint64_t aNumber,
                  random_engine& aRandom)
 {
-  const bool shares = Uniform(aRandom) < aMix.mSharedPrefixPart;
+  const bool hasSharedPrefix = Uniform(aRandom) < aMix.mSharedPrefixPart;
   const std::uint64_t prefix = Below(aRandom, kSharedPrefixCount);
-  const tokens shared = shares ? kFirstMarkTokens << Below(aRandom, 3) : 0;
-  std::vector<std::uint64_t> marks;
+  const tokens sharedTokens =
+    hasSharedPrefix ? kFirstMarkTokens << Below(aRandom, 3) : 0;
+  std::vector<std::uint64_t> hashes;
   for (std::size_t i = 0; MarkLength(i) <= aPrompt; ++i) {
-    const bool same = MarkLength(i) <= shared;
-    marks.push_back(Hash(
-      fmt::format("{}/{}/{}", same ? "p" : "r", same ? prefix : aNumber, i)));
+    const bool inSharedPrefix = MarkLength(i) <= sharedTokens;
+    hashes.push_back(Hash(fmt::format("{}/{}/{}",
+                                      inSharedPrefix ? "p" : "r",
+                                      inSharedPrefix ? prefix : aNumber,
+                                      i)));
   }
-  return marks;
+  return hashes;
 }
 
 double
-MeanPrompt(const length_class& aClass)
+MeanPromptTokens(const length_class& aClass)
 {
-  const double ratio = aClass.mMost / aClass.mLeast;
-  return ratio <= 1 ? aClass.mLeast
-                    : (aClass.mMost - aClass.mLeast) / std::log(ratio);
+  const double ratio = aClass.mMaxPromptTokens / aClass.mMinPromptTokens;
+  return ratio <= 1 ? aClass.mMinPromptTokens
+                    : (aClass.mMaxPromptTokens - aClass.mMinPromptTokens) /
+                        std::log(ratio);
 }
 
 } // namespace
@@ -97,14 +102,15 @@
   double weights = 0;
   double cost = 0;
   double memory = 0;
-  for (const length_class& one : aMix.mClasses) {
+  for (const length_class& lengthClass : aMix.mClasses) {
     work_shape mean;
-    mean.mPromptTokens = static_cast<tokens>(MeanPrompt(one));
-    mean.mMaxTokens = static_cast<tokens>(kMaxOutputFactor * one.mMeanOutput);
-    const tokens output = static_cast<tokens>(one.mMeanOutput);
-    weights += one.mWeight;
-    cost += one.mWeight * NominalCost(mean, output, aEngine);
-    memory += one.mWeight * NominalMemory(mean, output, aEngine);
+    mean.mPromptTokens = static_cast<tokens>(MeanPromptTokens(lengthClass));
+    mean.mMaxTokens =
+      static_cast<tokens>(kMaxOutputFactor * lengthClass.mMeanOutput);
+    const tokens output = static_cast<tokens>(lengthClass.mMeanOutput);
+    weights += lengthClass.mWeight;
+    cost += lengthClass.mWeight * NominalCost(mean, output, aEngine);
+    memory += lengthClass.mWeight * NominalMemory(mean, output, aEngine);
   }
   const double byTime = weights / cost;
   const double byMemory =
@@ -115,39 +121,40 @@
 std::vector<arrival>
 DrawArrivals(const traffic_mix& aMix,
              double aPerSecond,
-             duration aLength,
-             tokens aLongPrompt,
+             duration aDuration,
+             tokens aLongPromptTokens,
              std::uint64_t aSeed)
 {
   random_engine random(aSeed);
   std::vector<arrival> arrivals;
   time_point now{};
-  const time_point end = now + aLength;
+  const time_point end = now + aDuration;
   while (true) {
     now += FromSeconds(Exponential(random, 1 / aPerSecond));
     if (now >= end) {
       return arrivals;
     }
     arrival next;
-    next.mAt = now;
+    next.mTime = now;
     next.mClass = PickByWeight(aMix.mClasses, random);
     next.mOrganisation = PickByWeight(aMix.mOrganisations, random);
-    const length_class& one = aMix.mClasses[next.mClass];
+    const length_class& lengthClass = aMix.mClasses[next.mClass];
     work_shape& shape = next.mShape;
     shape.mModel = "model";
     shape.mOrganisation = aMix.mOrganisations[next.mOrganisation].mName;
-    shape.mPromptTokens =
-      static_cast<tokens>(LogUniform(random, one.mLeast, one.mMost));
-    const double output = Exponential(random, one.mMeanOutput);
-    next.mOutput = static_cast<tokens>(
-      std::clamp(output, kMinOutputTokens, kMaxOutputFactor * one.mMeanOutput));
-    // What a caller allows is more than what comes.
-    shape.mMaxTokens = static_cast<tokens>(kMaxOutputFactor * one.mMeanOutput);
-    shape.mPriority = one.mPriority;
-    shape.mLong = shape.mPromptTokens >= aLongPrompt;
+    shape.mPromptTokens = static_cast<tokens>(LogUniform(
+      random, lengthClass.mMinPromptTokens, lengthClass.mMaxPromptTokens));
+    const double output = Exponential(random, lengthClass.mMeanOutput);
+    next.mOutput = static_cast<tokens>(std::clamp(
+      output, kMinOutputTokens, kMaxOutputFactor * lengthClass.mMeanOutput));
+    // Callers set max_tokens well above the tokens that are generated.
+    shape.mMaxTokens =
+      static_cast<tokens>(kMaxOutputFactor * lengthClass.mMeanOutput);
+    shape.mPriority = lengthClass.mPriority;
+    shape.mLong = shape.mPromptTokens >= aLongPromptTokens;
     shape.mMarks =
       DrawPrefixHashes(aMix, shape.mPromptTokens, arrivals.size(), random);
-    next.mDeadline = now + FromSeconds(one.mTimeLimitSeconds);
+    next.mDeadline = now + FromSeconds(lengthClass.mTimeLimitSeconds);
     arrivals.push_back(std::move(next));
   }
 }
--- a/Utilities/Bench/Mix.h
+++ b/Utilities/Bench/Mix.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// What arrives in an experiment: open-loop Poisson arrivals of a mix of
-/// lengths and organisations, all drawn from one seed before the run begins.
+/// The traffic of an experiment: open-loop Poisson arrivals with a mix of
+/// prompt lengths and organisations. All arrivals are drawn from one seed
+/// before the run begins.
 
 #include "LibDecision/LibDecision.h"
 
@@ -10,14 +11,16 @@
 
 namespace primrose::bench {
 
-/// A class of requests: prompt lengths are log-uniform between the bounds.
+/// A class of requests. Prompt lengths are log-uniform between the bounds.
 struct length_class
 {
   std::string mName;
   double mWeight = 1;
-  double mLeast = 1000;
-  double mMost = 8000;
-  double mMeanOutput = 64; ///< Exponential, at least 4 and at most 8 times it.
+  double mMinPromptTokens = 1000;
+  double mMaxPromptTokens = 8000;
+  /// Mean of the exponentially distributed output tokens, which are clamped to
+  /// at least 4 and at most 8 times the mean.
+  double mMeanOutput = 64;
   unsigned mPriority = 1;
   double mTimeLimitSeconds = 600;
 
@@ -27,8 +30,8 @@
 struct organisation_share
 {
   std::string mName;
-  double mWeight = 1;      ///< Part of the arrivals.
-  double mShareWeight = 1; ///< Its weight in the settings.
+  double mWeight = 1;      ///< Relative share of the arrivals.
+  double mShareWeight = 1; ///< "share_weight" in the settings.
 
   bool operator==(const organisation_share&) const = default;
 };
@@ -37,14 +40,15 @@
 {
   std::vector<length_class> mClasses;
   std::vector<organisation_share> mOrganisations;
-  double mSharedPrefixPart = 0.3; ///< Requests that begin like others do.
+  /// Fraction of requests with a shared prefix.
+  double mSharedPrefixPart = 0.3;
 
   bool operator==(const traffic_mix&) const = default;
 };
 
 struct arrival
 {
-  time_point mAt;
+  time_point mTime;
   std::size_t mClass = 0;
   std::size_t mOrganisation = 0;
   work_shape mShape;
@@ -54,21 +58,21 @@
   bool operator==(const arrival&) const = default;
 };
 
-/// Engine-seconds that a request costs when its engine always reads whole
-/// chunks; the unit in which load is stated.
+/// Engine-seconds that a request costs if its engine always prefills whole
+/// chunks. Load is stated in this unit.
 double
 NominalCost(const work_shape& aShape,
             tokens aOutput,
             const engine_shape& aEngine);
 
-/// Token-seconds of memory that a request holds on a busy engine.
+/// Token-seconds of memory that a request occupies on a busy engine.
 double
 NominalMemory(const work_shape& aShape,
               tokens aOutput,
               const engine_shape& aEngine);
 
-/// Arrivals a second at which the engines' time or their memory, whichever is
-/// the scarcer, is wholly used.
+/// Arrivals per second that fully use the engines' time or their memory,
+/// whichever is reached first.
 double
 NominalCapacity(const traffic_mix& aMix,
                 const engine_shape& aEngine,
@@ -77,8 +81,8 @@
 std::vector<arrival>
 DrawArrivals(const traffic_mix& aMix,
              double aPerSecond,
-             duration aLength,
-             tokens aLongPrompt,
+             duration aDuration,
+             tokens aLongPromptTokens,
              std::uint64_t aSeed);
 
 } // namespace primrose::bench
--- a/Utilities/Bench/Report.cpp
+++ b/Utilities/Bench/Report.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 double
-Ratio(double aValue, double aBase)
+RatioOrZero(double aValue, double aBase)
 {
   return aBase > 0 ? aValue / aBase : 0;
 }
@@ -27,10 +27,11 @@
   return {};
 }
 
-/// One block for each policy: load, p95 slowdown of the short ones, p95 first
-/// token of the long ones.
+/// One block of lines for each policy: load in percent, p95 slowdown of short
+/// requests, p95 time to the first token of long prompts.
 std::string
-DataOf(const experiment& aExperiment, const std::vector<run_summary>& aRuns)
+FormatPlotData(const experiment& aExperiment,
+               const std::vector<run_summary>& aRuns)
 {
   std::string data;
   for (const bench_policy& policy : aExperiment.mPolicies) {
@@ -39,8 +40,8 @@
       if (run.mPolicy == policy.mName) {
         data += fmt::format("{} {} {}\n",
                             run.mLoad * 100,
-                            run.mShortSlowdown.At(0.95),
-                            run.mLongFirstToken.At(0.95));
+                            run.mShortSlowdown.Quantile(0.95),
+                            run.mLongFirstToken.Quantile(0.95));
       }
     }
     data += "\n\n";
@@ -100,19 +101,19 @@
       run.mPolicy,
       run.mLoad,
       run.mArrivalCount,
-      run.mRefused,
+      run.mRefusedCount,
       run.mTimedOutCount,
       run.mGoodput,
-      run.mShortSlowdown.At(0.95),
-      run.mShortSlowdown.At(0.99),
-      Ratio(run.mShortSlowdown.At(0.95),
-            run.mShortSlowdownWithoutLong.At(0.95)),
-      Ratio(run.mShortSlowdown.At(0.99),
-            run.mShortSlowdownWithoutLong.At(0.99)),
-      run.mShortFirstToken.At(0.95),
-      run.mMiddleFirstToken.At(0.95),
-      run.mLongFirstToken.At(0.5),
-      run.mLongFirstToken.At(0.95),
+      run.mShortSlowdown.Quantile(0.95),
+      run.mShortSlowdown.Quantile(0.99),
+      RatioOrZero(run.mShortSlowdown.Quantile(0.95),
+                  run.mShortSlowdownWithoutLong.Quantile(0.95)),
+      RatioOrZero(run.mShortSlowdown.Quantile(0.99),
+                  run.mShortSlowdownWithoutLong.Quantile(0.99)),
+      run.mShortFirstToken.Quantile(0.95),
+      run.mMiddleFirstToken.Quantile(0.95),
+      run.mLongFirstToken.Quantile(0.5),
+      run.mLongFirstToken.Quantile(0.95),
       run.mProbesPerRequest,
       run.mShareError);
   }
@@ -133,22 +134,22 @@
       { "policy", run.mPolicy },
       { "load", run.mLoad },
       { "offered", run.mArrivalCount },
-      { "complete", run.mComplete },
-      { "refused", run.mRefused },
+      { "complete", run.mCompleteCount },
+      { "refused", run.mRefusedCount },
       { "late", run.mTimedOutCount },
       { "goodput", run.mGoodput },
-      { "busy", run.mBusy },
+      { "busy", run.mUtilisation },
       { "short_count", run.mShortSlowdown.mValues.size() },
-      { "short_slowdown_p50", run.mShortSlowdown.At(0.5) },
-      { "short_slowdown_p95", run.mShortSlowdown.At(0.95) },
-      { "short_slowdown_p99", run.mShortSlowdown.At(0.99) },
-      { "alone_slowdown_p95", run.mShortSlowdownWithoutLong.At(0.95) },
-      { "alone_slowdown_p99", run.mShortSlowdownWithoutLong.At(0.99) },
-      { "short_first_p95", run.mShortFirstToken.At(0.95) },
-      { "middle_first_p95", run.mMiddleFirstToken.At(0.95) },
+      { "short_slowdown_p50", run.mShortSlowdown.Quantile(0.5) },
+      { "short_slowdown_p95", run.mShortSlowdown.Quantile(0.95) },
+      { "short_slowdown_p99", run.mShortSlowdown.Quantile(0.99) },
+      { "alone_slowdown_p95", run.mShortSlowdownWithoutLong.Quantile(0.95) },
+      { "alone_slowdown_p99", run.mShortSlowdownWithoutLong.Quantile(0.99) },
+      { "short_first_p95", run.mShortFirstToken.Quantile(0.95) },
+      { "middle_first_p95", run.mMiddleFirstToken.Quantile(0.95) },
       { "long_count", run.mLongFirstToken.mValues.size() },
-      { "long_first_p50", run.mLongFirstToken.At(0.5) },
-      { "long_first_p95", run.mLongFirstToken.At(0.95) },
+      { "long_first_p50", run.mLongFirstToken.Quantile(0.5) },
+      { "long_first_p95", run.mLongFirstToken.Quantile(0.95) },
       { "probes_per_request", run.mProbesPerRequest },
       { "reservations_per_request", run.mReservationsPerRequest },
       { "share_error", run.mShareError },
@@ -172,7 +173,7 @@
   BOOST_LEAF_CHECK(
     WriteText(folder / (name + ".jsonl"), FormatJsonLines(aRuns)));
   BOOST_LEAF_CHECK(
-    WriteText(folder / (name + ".dat"), DataOf(aExperiment, aRuns)));
+    WriteText(folder / (name + ".dat"), FormatPlotData(aExperiment, aRuns)));
   BOOST_LEAF_CHECK(
     WriteText(folder / (name + ".gp"), FormatPlotScript(aExperiment)));
   return {};
--- a/Utilities/Bench/Report.h
+++ b/Utilities/Bench/Report.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What people see of an experiment: a table, JSON lines, and data with a
-/// gnuplot script for the plot.
+/// Reports of an experiment: a table, JSON lines, and plot data with a gnuplot
+/// script.
 
 #include "Experiment.h"
 
@@ -14,8 +14,9 @@
 std::string
 FormatJsonLines(const std::vector<run_summary>& aRuns);
 
-/// Writes NAME.txt, NAME.jsonl, NAME.dat and NAME.gp into the folder. The
-/// script draws NAME.png when gnuplot is run on it there.
+/// Writes NAME.txt, NAME.jsonl, NAME.dat and NAME.gp into the folder, where
+/// NAME is the experiment's name. Run in that folder, gnuplot NAME.gp draws
+/// NAME.png.
 result<void>
 WriteReport(const experiment& aExperiment,
             const std::vector<run_summary>& aRuns,
--- a/Utilities/Bench/SampleEngine.h
+++ b/Utilities/Bench/SampleEngine.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// An engine as the users' deployments declare theirs, for tests and
-/// measurements of placement.
+/// An engine's timing as the users' deployments declare it, for tests and
+/// benchmarks of placement.
 
 #include "LibFleet/EngineCost.h"
 
--- a/Utilities/Bench/World.cpp
+++ b/Utilities/Bench/World.cpp
@@ -8,91 +8,97 @@
 
 namespace {
 
-/// One engine with its agent.
-struct site
+/// An engine and the agent that schedules its work.
+struct simulated_node
 {
   engine_model mEngine;
-  agent_board mBoard;
-  std::optional<time_point> mWake; ///< The step event that is scheduled.
-  bool mExpirySet = false;
+  agent_board mAgent;
+  /// Time of the engine step that is in the event queue.
+  std::optional<time_point> mScheduledStep;
+  bool mExpiryScheduled = false;
   bool mDown = false;
-  /// What a lagging report says: unread tokens and running sequences.
-  double mReportedUnread = 0;
+  /// Load as the placement baselines see it, which lags behind the real load:
+  /// prompt tokens not yet prefilled, and running sequences.
+  double mReportedUnreadTokens = 0;
   std::size_t mReportedRunning = 0;
 };
 
-/// A request on its way.
-struct flight
+/// A request from its arrival to its end. Place() resets the members that
+/// belong to one attempt.
+struct in_flight_request
 {
   const arrival* mArrival = nullptr;
   std::size_t mIndex = 0;
-  std::size_t mEntry = 0;
-  unsigned mAttempts = 0;
+  std::size_t mGateway = 0;
+  unsigned mAttemptNumber = 0;
   std::vector<scored_candidate> mRanked;
-  std::size_t mNext = 0;
-  std::size_t mGroup = 1;
-  std::vector<std::size_t> mSites; ///< Where it has or waits for a place.
-  std::size_t mGranted = 0;
-  std::size_t mPartsRead = 0;
+  std::size_t mNextCandidate = 0;
+  std::size_t mGroupSize = 1;
+  std::vector<std::size_t> mNodes; ///< Nodes that granted or queued it.
+  std::size_t mGrantedCount = 0;
+  std::size_t mPrefilledParts = 0;
   bool mSubmitted = false;
-  std::string mAttempt;
-  bool mOver = false;
+  std::string mAttemptId;
+  bool mFinished = false;
 };
 
-struct scheduled
+struct scheduled_event
 {
-  time_point mAt;
-  std::uint64_t mOrder = 0;
-  std::function<void()> mAct;
+  time_point mTime;
+  std::uint64_t mSequenceNumber = 0;
+  std::function<void()> mAction;
 };
 
-struct later
+struct runs_later
 {
-  bool operator()(const scheduled& aLeft, const scheduled& aRight) const
+  bool operator()(const scheduled_event& aLeft,
+                  const scheduled_event& aRight) const
   {
-    return std::tie(aLeft.mAt, aLeft.mOrder) >
-           std::tie(aRight.mAt, aRight.mOrder);
+    return std::tie(aLeft.mTime, aLeft.mSequenceNumber) >
+           std::tie(aRight.mTime, aRight.mSequenceNumber);
   }
 };
 
-class world
+class simulation
 {
 public:
-  world(const simulation_settings& aSettings,
-        const bench_policy& aPolicy,
-        const traffic_mix& aMix,
-        const std::vector<arrival>& aArrivals,
-        std::uint64_t aSeed);
+  simulation(const simulation_settings& aSettings,
+             const bench_policy& aPolicy,
+             const traffic_mix& aMix,
+             const std::vector<arrival>& aArrivals,
+             std::uint64_t aSeed);
 
   simulation_result Run();
 
 private:
-  void At(time_point aTime, std::function<void()> aAct);
-  void Later(const flight& aFlight,
-             duration aDelay,
-             void (world::*aStep)(flight&));
-  void Arrive(std::size_t aIndex);
-  void Place(flight& aFlight);
-  void PlaceByReport(flight& aFlight);
-  void PlaceByProbes(flight& aFlight);
-  void TakeAnswers(flight& aFlight, const std::vector<std::size_t>& aAsked);
-  void ReserveNext(flight& aFlight);
-  void ReserveAt(flight& aFlight, std::size_t aSite);
-  void Refused(flight& aFlight, refusal aWhy);
-  void Dispatched(std::size_t aSite);
-  void Granted(flight& aFlight);
-  void SubmitAll(flight& aFlight);
-  void Wake(std::size_t aSite);
-  void StepDone(std::size_t aSite);
-  void TakeOutput(std::size_t aSite, const engine_output& aOutput);
-  void PartRead(flight& aFlight);
-  void ReleaseAll(flight& aFlight);
-  void End(flight& aFlight, request_outcome aEnd);
-  void SetExpiry(std::size_t aSite);
-  void RunExpiry(std::size_t aSite);
-  void Report();
-  void Kill(std::size_t aSite);
-  std::size_t LeastOf(const std::vector<std::size_t>& aSites, bool aByUnread);
+  void ScheduleAt(time_point aTime, std::function<void()> aAction);
+  void ScheduleStep(const in_flight_request& aRequest,
+                    duration aDelay,
+                    void (simulation::*aStep)(in_flight_request&));
+  void HandleArrival(std::size_t aIndex);
+  void Place(in_flight_request& aRequest);
+  void PlaceByReport(in_flight_request& aRequest);
+  void PlaceByProbes(in_flight_request& aRequest);
+  void HandleProbeAnswers(in_flight_request& aRequest,
+                          const std::vector<std::size_t>& aProbed);
+  void ReserveNext(in_flight_request& aRequest);
+  void ReserveAt(in_flight_request& aRequest, std::size_t aNode);
+  void HandleRefusal(in_flight_request& aRequest, refusal aReason);
+  void DispatchWaitingWork(std::size_t aNode);
+  void HandleGrant(in_flight_request& aRequest);
+  void SubmitToEngines(in_flight_request& aRequest);
+  void ScheduleEngineStep(std::size_t aNode);
+  void RunEngineStep(std::size_t aNode);
+  void HandleOutput(std::size_t aNode, const engine_output& aOutput);
+  void HandlePrefilledPart(in_flight_request& aRequest);
+  void ReleaseReservations(in_flight_request& aRequest);
+  void Finish(in_flight_request& aRequest, request_outcome aOutcome);
+  void ScheduleExpiry(std::size_t aNode);
+  void RunExpiry(std::size_t aNode);
+  void PublishLoadReports();
+  void CrashEngine(std::size_t aNode);
+  std::size_t LeastLoaded(const std::vector<std::size_t>& aNodes,
+                          bool aByUnreadTokens);
 
   simulation_settings mSettings;
   bench_policy mPolicy;
@@ -100,574 +106,596 @@
   const std::vector<arrival>& mArrivals;
   random_engine mRandom;
   time_point mNow{};
-  std::uint64_t mOrder = 0;
-  std::priority_queue<scheduled, std::vector<scheduled>, later> mQueue;
-  std::vector<site> mSites;
+  std::uint64_t mSequenceNumber = 0;
+  std::priority_queue<scheduled_event, std::vector<scheduled_event>, runs_later>
+    mEvents;
+  std::vector<simulated_node> mNodes;
   std::vector<std::string> mNames;
-  std::vector<placement_memory> mMemories;
-  std::vector<std::size_t> mTurns;
+  std::vector<placement_memory> mPlacementMemories;
+  std::vector<std::size_t> mRoundRobinTurns;
   std::vector<std::vector<std::size_t>> mOutstanding;
-  std::vector<flight> mFlights;
-  std::map<std::string, std::size_t> mByAttempt;
-  std::size_t mOpen = 0;
+  std::vector<in_flight_request> mInFlight;
+  std::map<std::string, std::size_t> mRequestOfAttempt;
+  std::size_t mUnfinishedCount = 0;
   simulation_result mResult;
 };
 
-world::world(const simulation_settings& aSettings,
-             const bench_policy& aPolicy,
-             const traffic_mix& aMix,
-             const std::vector<arrival>& aArrivals,
-             std::uint64_t aSeed)
+simulation::simulation(const simulation_settings& aSettings,
+                       const bench_policy& aPolicy,
+                       const traffic_mix& aMix,
+                       const std::vector<arrival>& aArrivals,
+                       std::uint64_t aSeed)
   : mSettings(aSettings)
   , mPolicy(aPolicy)
   , mMix(aMix)
   , mArrivals(aArrivals)
   , mRandom(aSeed)
-  , mMemories(aSettings.mEntries)
-  , mTurns(aSettings.mEntries)
-  , mOutstanding(aSettings.mEntries,
+  , mPlacementMemories(aSettings.mGateways)
+  , mRoundRobinTurns(aSettings.mGateways)
+  , mOutstanding(aSettings.mGateways,
                  std::vector<std::size_t>(aSettings.mEngines))
-  , mFlights(aArrivals.size())
-  , mOpen(aArrivals.size())
-{
-  mSites.resize(aSettings.mEngines);
-  for (std::size_t i = 0; i < mSites.size(); ++i) {
-    mSites[i].mEngine = MakeEngine(aSettings.mEngine);
-    // A warmed up fleet: slow start is over.
-    mSites[i].mBoard = MakeAgentBoard("model",
+  , mInFlight(aArrivals.size())
+  , mUnfinishedCount(aArrivals.size())
+{
+  mNodes.resize(aSettings.mEngines);
+  for (std::size_t i = 0; i < mNodes.size(); ++i) {
+    mNodes[i].mEngine = MakeEngine(aSettings.mEngine);
+    // The engines started an hour ago, so their slow start is over.
+    mNodes[i].mAgent = MakeAgentBoard("model",
                                       aSettings.mEngine,
                                       aPolicy.mLimits,
                                       mNow - std::chrono::hours(1));
     mNames.push_back(fmt::format("engine-{}", i));
   }
-  for (placement_memory& memory : mMemories) {
+  for (placement_memory& memory : mPlacementMemories) {
     memory.mLongFront = 1;
   }
-  for (std::size_t i = 0; i < mTurns.size(); ++i) {
-    mTurns[i] = Below(mRandom, aSettings.mEngines);
+  for (std::size_t i = 0; i < mRoundRobinTurns.size(); ++i) {
+    mRoundRobinTurns[i] = Below(mRandom, aSettings.mEngines);
   }
 }
 
 void
-world::At(time_point aTime, std::function<void()> aAct)
+simulation::ScheduleAt(time_point aTime, std::function<void()> aAction)
 {
-  mQueue.push({ aTime, mOrder++, std::move(aAct) });
+  mEvents.push({ aTime, mSequenceNumber++, std::move(aAction) });
 }
 
-/// A step of an attempt, after a delay; dropped if the flight has been placed
-/// anew meanwhile, as a message to an attempt that was given up would be.
+/// Schedules a step of the request's current attempt. The step is dropped if a
+/// new attempt has begun by then, as a message for an abandoned attempt would
+/// be.
 void
-world::Later(const flight& aFlight,
-             duration aDelay,
-             void (world::*aStep)(flight&))
-{
-  const std::size_t index = aFlight.mIndex;
-  const unsigned attempt = aFlight.mAttempts;
-  At(mNow + aDelay, [this, index, attempt, aStep]() {
-    if (mFlights[index].mAttempts == attempt) {
-      (this->*aStep)(mFlights[index]);
+simulation::ScheduleStep(const in_flight_request& aRequest,
+                         duration aDelay,
+                         void (simulation::*aStep)(in_flight_request&))
+{
+  const std::size_t index = aRequest.mIndex;
+  const unsigned attempt = aRequest.mAttemptNumber;
+  ScheduleAt(mNow + aDelay, [this, index, attempt, aStep]() {
+    if (mInFlight[index].mAttemptNumber == attempt) {
+      (this->*aStep)(mInFlight[index]);
     }
   });
 }
 
 simulation_result
-world::Run()
+simulation::Run()
 {
   mResult.mRequests.resize(mArrivals.size());
   for (std::size_t i = 0; i < mArrivals.size(); ++i) {
     mResult.mRequests[i].mArrival = i;
-    At(mArrivals[i].mAt, [this, i]() { Arrive(i); });
+    ScheduleAt(mArrivals[i].mTime, [this, i]() { HandleArrival(i); });
   }
-  At(mNow, [this]() { Report(); });
+  ScheduleAt(mNow, [this]() { PublishLoadReports(); });
   if (mSettings.mEngineCrashes > 0 && !mArrivals.empty()) {
-    const time_point middle =
-      time_point{} + (mArrivals.back().mAt - time_point{}) / 2;
+    const time_point halfTime =
+      time_point{} + (mArrivals.back().mTime - time_point{}) / 2;
     for (std::size_t i = 0; i < mSettings.mEngineCrashes; ++i) {
-      At(middle, [this, i]() { Kill(i); });
+      ScheduleAt(halfTime, [this, i]() { CrashEngine(i); });
     }
   }
-  while (!mQueue.empty() && mOpen > 0) {
-    const scheduled next = mQueue.top();
-    mQueue.pop();
-    mNow = next.mAt;
-    next.mAct();
+  while (!mEvents.empty() && mUnfinishedCount > 0) {
+    const scheduled_event next = mEvents.top();
+    mEvents.pop();
+    mNow = next.mTime;
+    next.mAction();
   }
-  for (const site& one : mSites) {
-    mResult.mBusySeconds += one.mEngine.mBusySeconds;
-    mResult.mLeakedTokens += one.mBoard.mUsed + one.mEngine.mUsed;
+  for (const simulated_node& node : mNodes) {
+    mResult.mBusySeconds += node.mEngine.mBusySeconds;
+    mResult.mLeakedTokens += node.mAgent.mUsed + node.mEngine.mUsed;
   }
   return mResult;
 }
 
 void
-world::Arrive(std::size_t aIndex)
-{
-  flight& own = mFlights[aIndex];
-  own.mArrival = &mArrivals[aIndex];
-  own.mIndex = aIndex;
-  own.mEntry = Below(mRandom, mSettings.mEntries);
-  own.mGroup = std::min(GroupSize(own.mArrival->mShape,
-                                  mPolicy.mRules,
-                                  mSettings.mEngine.mCapacity),
-                        mSettings.mEngines);
-  At(own.mArrival->mDeadline, [this, aIndex]() {
-    flight& late = mFlights[aIndex];
-    if (!late.mOver) {
-      End(late, request_outcome::Late);
+simulation::HandleArrival(std::size_t aIndex)
+{
+  in_flight_request& request = mInFlight[aIndex];
+  request.mArrival = &mArrivals[aIndex];
+  request.mIndex = aIndex;
+  request.mGateway = Below(mRandom, mSettings.mGateways);
+  request.mGroupSize = std::min(GroupSize(request.mArrival->mShape,
+                                          mPolicy.mRules,
+                                          mSettings.mEngine.mCapacity),
+                                mSettings.mEngines);
+  ScheduleAt(request.mArrival->mDeadline, [this, aIndex]() {
+    in_flight_request& expired = mInFlight[aIndex];
+    if (!expired.mFinished) {
+      Finish(expired, request_outcome::TimedOut);
     }
   });
-  Place(own);
+  Place(request);
 }
 
 void
-world::Place(flight& aFlight)
+simulation::Place(in_flight_request& aRequest)
 {
-  if (aFlight.mOver) {
+  if (aRequest.mFinished) {
     return;
   }
-  ++aFlight.mAttempts;
-  aFlight.mRanked.clear();
-  aFlight.mNext = 0;
-  aFlight.mSites.clear();
-  aFlight.mGranted = 0;
-  aFlight.mPartsRead = 0;
-  aFlight.mSubmitted = false;
-  aFlight.mAttempt = fmt::format("{}.{}", aFlight.mIndex, aFlight.mAttempts);
-  mByAttempt[aFlight.mAttempt] = aFlight.mIndex;
+  ++aRequest.mAttemptNumber;
+  aRequest.mRanked.clear();
+  aRequest.mNextCandidate = 0;
+  aRequest.mNodes.clear();
+  aRequest.mGrantedCount = 0;
+  aRequest.mPrefilledParts = 0;
+  aRequest.mSubmitted = false;
+  aRequest.mAttemptId =
+    fmt::format("{}.{}", aRequest.mIndex, aRequest.mAttemptNumber);
+  mRequestOfAttempt[aRequest.mAttemptId] = aRequest.mIndex;
   if (mPolicy.mPlacement == placement_kind::Probing) {
-    PlaceByProbes(aFlight);
+    PlaceByProbes(aRequest);
   } else {
-    PlaceByReport(aFlight);
+    PlaceByReport(aRequest);
   }
 }
 
 std::size_t
-world::LeastOf(const std::vector<std::size_t>& aSites, bool aByUnread)
+simulation::LeastLoaded(const std::vector<std::size_t>& aNodes,
+                        bool aByUnreadTokens)
 {
-  const auto load = [&](std::size_t aSite) {
-    const site& one = mSites[aSite];
-    return aByUnread ? one.mReportedUnread
-                     : static_cast<double>(one.mReportedRunning);
+  const auto load = [&](std::size_t aNode) {
+    const simulated_node& node = mNodes[aNode];
+    return aByUnreadTokens ? node.mReportedUnreadTokens
+                           : static_cast<double>(node.mReportedRunning);
   };
-  std::size_t best = aSites.front();
+  std::size_t best = aNodes.front();
   std::size_t ties = 1;
-  for (const std::size_t one : aSites) {
-    if (load(one) < load(best)) {
-      best = one;
+  for (const std::size_t candidateNode : aNodes) {
+    if (load(candidateNode) < load(best)) {
+      best = candidateNode;
       ties = 1;
-    } else if (load(one) == load(best) && Below(mRandom, ++ties) == 0) {
-      best = one;
+    } else if (load(candidateNode) == load(best) &&
+               Below(mRandom, ++ties) == 0) {
+      best = candidateNode;
     }
   }
   return best;
 }
 
 void
-world::PlaceByReport(flight& aFlight)
+simulation::PlaceByReport(in_flight_request& aRequest)
 {
-  std::vector<std::size_t> left;
-  for (std::size_t i = 0; i < mSites.size(); ++i) {
-    if (!mSites[i].mDown) {
-      left.push_back(i);
+  std::vector<std::size_t> available;
+  for (std::size_t i = 0; i < mNodes.size(); ++i) {
+    if (!mNodes[i].mDown) {
+      available.push_back(i);
     }
   }
   std::vector<std::size_t> chosen;
-  while (chosen.size() < aFlight.mGroup && !left.empty()) {
-    std::size_t pick = left.front();
-    std::vector<std::size_t>& outstanding = mOutstanding[aFlight.mEntry];
+  while (chosen.size() < aRequest.mGroupSize && !available.empty()) {
+    std::size_t pick = available.front();
+    std::vector<std::size_t>& outstanding = mOutstanding[aRequest.mGateway];
     switch (mPolicy.mPlacement) {
       case placement_kind::RoundRobin:
-        pick = left[mTurns[aFlight.mEntry]++ % left.size()];
+        pick =
+          available[mRoundRobinTurns[aRequest.mGateway]++ % available.size()];
         break;
       case placement_kind::LeastRequests:
-        pick = *std::min_element(
-          left.begin(), left.end(), [&](std::size_t aLeft, std::size_t aRight) {
-            return outstanding[aLeft] < outstanding[aRight];
-          });
+        pick =
+          *std::min_element(available.begin(),
+                            available.end(),
+                            [&](std::size_t aLeft, std::size_t aRight) {
+                              return outstanding[aLeft] < outstanding[aRight];
+                            });
         break;
       case placement_kind::TwoChoices:
-        pick = LeastOf({ left[Below(mRandom, left.size())],
-                         left[Below(mRandom, left.size())] },
-                       false);
+        pick = LeastLoaded({ available[Below(mRandom, available.size())],
+                             available[Below(mRandom, available.size())] },
+                           false);
         break;
       default:
-        pick = LeastOf(left, true);
+        pick = LeastLoaded(available, true);
         break;
     }
     chosen.push_back(pick);
-    std::erase(left, pick);
+    std::erase(available, pick);
   }
   std::sort(chosen.begin(), chosen.end());
-  for (const std::size_t one : chosen) {
-    aFlight.mRanked.push_back({ one, 0 });
+  for (const std::size_t node : chosen) {
+    aRequest.mRanked.push_back({ node, 0 });
   }
-  Later(aFlight, mSettings.mOneWayDelay, &world::ReserveNext);
+  ScheduleStep(aRequest, mSettings.mOneWayDelay, &simulation::ReserveNext);
 }
 
 void
-world::PlaceByProbes(flight& aFlight)
+simulation::PlaceByProbes(in_flight_request& aRequest)
 {
   placement_rules rules = mPolicy.mRules;
-  if (aFlight.mGroup > 1) {
+  if (aRequest.mGroupSize > 1) {
     constexpr unsigned kProbesPerMember = 3;
-    rules.mProbes = std::max(
-      rules.mProbes, static_cast<unsigned>(aFlight.mGroup) * kProbesPerMember);
+    rules.mProbes =
+      std::max(rules.mProbes,
+               static_cast<unsigned>(aRequest.mGroupSize) * kProbesPerMember);
   }
-  const std::vector<std::size_t> asked =
+  const std::vector<std::size_t> probed =
     ChooseToProbe(mNames,
-                  aFlight.mArrival->mShape,
+                  aRequest.mArrival->mShape,
                   rules,
-                  mMemories[aFlight.mEntry],
-                  aFlight.mGroup,
+                  mPlacementMemories[aRequest.mGateway],
+                  aRequest.mGroupSize,
                   mRandom);
-  mResult.mProbes += asked.size();
-  const unsigned attempt = aFlight.mAttempts;
-  At(mNow + mSettings.mOneWayDelay,
-     [this, index = aFlight.mIndex, attempt, asked]() {
-       if (mFlights[index].mAttempts == attempt) {
-         TakeAnswers(mFlights[index], asked);
-       }
-     });
+  mResult.mProbes += probed.size();
+  const unsigned attempt = aRequest.mAttemptNumber;
+  ScheduleAt(mNow + mSettings.mOneWayDelay,
+             [this, index = aRequest.mIndex, attempt, probed]() {
+               if (mInFlight[index].mAttemptNumber == attempt) {
+                 HandleProbeAnswers(mInFlight[index], probed);
+               }
+             });
 }
 
 void
-world::TakeAnswers(flight& aFlight, const std::vector<std::size_t>& aAsked)
+simulation::HandleProbeAnswers(in_flight_request& aRequest,
+                               const std::vector<std::size_t>& aProbed)
 {
-  if (aFlight.mOver) {
+  if (aRequest.mFinished) {
     return;
   }
-  const work_shape shape =
-    MemberShape(aFlight.mArrival->mShape, aFlight.mGroup, hold_role::Lead);
+  const work_shape shape = MemberShape(
+    aRequest.mArrival->mShape, aRequest.mGroupSize, hold_role::Lead);
   std::vector<candidate> candidates;
-  for (const std::size_t one : aAsked) {
+  for (const std::size_t node : aProbed) {
     const bool lost =
-      mSites[one].mDown || Uniform(mRandom) < mSettings.mProbeLossRate;
+      mNodes[node].mDown || Uniform(mRandom) < mSettings.mProbeLossRate;
     if (!lost) {
-      candidates.push_back({ one, Probe(mSites[one].mBoard, shape, mNow) });
+      candidates.push_back({ node, Probe(mNodes[node].mAgent, shape, mNow) });
     }
   }
-  LearnFront(mMemories[aFlight.mEntry],
+  LearnFront(mPlacementMemories[aRequest.mGateway],
              candidates,
              shape,
              mPolicy.mRules,
              mSettings.mEngine,
-             aFlight.mGroup,
+             aRequest.mGroupSize,
              mNames.size());
-  aFlight.mRanked = RankCandidates(
+  aRequest.mRanked = RankCandidates(
     candidates,
     shape,
     mPolicy.mRules,
     mSettings.mEngine,
-    PacksLong(mPolicy.mRules, mMemories[aFlight.mEntry], mNames.size()));
-  if (aFlight.mRanked.size() < aFlight.mGroup) {
-    Refused(aFlight, refusal::NoRoom);
+    PacksLong(
+      mPolicy.mRules, mPlacementMemories[aRequest.mGateway], mNames.size()));
+  if (aRequest.mRanked.size() < aRequest.mGroupSize) {
+    HandleRefusal(aRequest, refusal::NoRoom);
     return;
   }
-  if (aFlight.mGroup > 1) {
-    aFlight.mRanked.resize(aFlight.mGroup);
+  if (aRequest.mGroupSize > 1) {
+    aRequest.mRanked.resize(aRequest.mGroupSize);
     std::sort(
-      aFlight.mRanked.begin(),
-      aFlight.mRanked.end(),
+      aRequest.mRanked.begin(),
+      aRequest.mRanked.end(),
       [](const scored_candidate& aLeft, const scored_candidate& aRight) {
         return aLeft.mIndex < aRight.mIndex;
       });
   }
-  // The answers' way back and the reservation's way there.
-  Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
+  // One delay for the probe answers, one for the reservation message.
+  ScheduleStep(aRequest, 2 * mSettings.mOneWayDelay, &simulation::ReserveNext);
 }
 
 void
-world::ReserveNext(flight& aFlight)
+simulation::ReserveNext(in_flight_request& aRequest)
 {
-  if (aFlight.mOver) {
+  if (aRequest.mFinished) {
     return;
   }
-  if (aFlight.mNext == aFlight.mRanked.size()) {
-    Refused(aFlight, refusal::NoRoom);
+  if (aRequest.mNextCandidate == aRequest.mRanked.size()) {
+    HandleRefusal(aRequest, refusal::NoRoom);
     return;
   }
-  ReserveAt(aFlight, aFlight.mRanked[aFlight.mNext++].mIndex);
+  ReserveAt(aRequest, aRequest.mRanked[aRequest.mNextCandidate++].mIndex);
 }
 
 void
-world::ReserveAt(flight& aFlight, std::size_t aSite)
+simulation::ReserveAt(in_flight_request& aRequest, std::size_t aNode)
 {
   ++mResult.mReservations;
-  const arrival& own = *aFlight.mArrival;
+  const arrival& arrived = *aRequest.mArrival;
   hold_role role = hold_role::Whole;
-  if (aFlight.mGroup > 1) {
-    role = aFlight.mSites.empty() ? hold_role::Lead : hold_role::Member;
-  }
-  reservation asked;
-  asked.mRequest = std::to_string(aFlight.mIndex);
-  asked.mAttempt = aFlight.mAttempt;
-  asked.mShape = MemberShape(own.mShape, aFlight.mGroup, role);
-  asked.mRole = role;
-  asked.mDeadline = own.mDeadline;
-  const duration remaining = own.mDeadline - mNow;
-  const double wait = asked.mShape.mLong ? mSettings.mLongQueueWaitSeconds
-                                         : mSettings.mQueueWaitSeconds;
-  asked.mWaitUntil = mNow + std::min(remaining, FromSeconds(wait));
-  asked.mLease = std::chrono::hours(1);
-  asked.mWeight = mMix.mOrganisations[own.mOrganisation].mShareWeight;
+  if (aRequest.mGroupSize > 1) {
+    role = aRequest.mNodes.empty() ? hold_role::Lead : hold_role::Member;
+  }
+  reservation wanted;
+  wanted.mRequest = std::to_string(aRequest.mIndex);
+  wanted.mAttempt = aRequest.mAttemptId;
+  wanted.mShape = MemberShape(arrived.mShape, aRequest.mGroupSize, role);
+  wanted.mRole = role;
+  wanted.mDeadline = arrived.mDeadline;
+  const duration remaining = arrived.mDeadline - mNow;
+  const double wait = wanted.mShape.mLong ? mSettings.mLongQueueWaitSeconds
+                                          : mSettings.mQueueWaitSeconds;
+  wanted.mWaitUntil = mNow + std::min(remaining, FromSeconds(wait));
+  wanted.mLease = std::chrono::hours(1);
+  wanted.mWeight = mMix.mOrganisations[arrived.mOrganisation].mShareWeight;
   if (mPolicy.mPlacement != placement_kind::Probing) {
-    asked.mWaitUntil = own.mDeadline;
+    wanted.mWaitUntil = arrived.mDeadline;
   }
-  const refusal answer = mSites[aSite].mDown
+  const refusal reason = mNodes[aNode].mDown
                            ? refusal::EngineDown
-                           : Reserve(mSites[aSite].mBoard, asked, mNow);
-  if (answer != refusal::None) {
-    const std::size_t left = aFlight.mRanked.size() - aFlight.mNext;
-    if (left + aFlight.mSites.size() < aFlight.mGroup) {
-      Refused(aFlight, answer);
+                           : Reserve(mNodes[aNode].mAgent, wanted, mNow);
+  if (reason != refusal::None) {
+    const std::size_t candidatesLeft =
+      aRequest.mRanked.size() - aRequest.mNextCandidate;
+    if (candidatesLeft + aRequest.mNodes.size() < aRequest.mGroupSize) {
+      HandleRefusal(aRequest, reason);
       return;
     }
-    Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
+    ScheduleStep(
+      aRequest, 2 * mSettings.mOneWayDelay, &simulation::ReserveNext);
     return;
   }
-  aFlight.mSites.push_back(aSite);
-  ++mOutstanding[aFlight.mEntry][aSite];
-  Dispatched(aSite);
-  SetExpiry(aSite);
+  aRequest.mNodes.push_back(aNode);
+  ++mOutstanding[aRequest.mGateway][aNode];
+  DispatchWaitingWork(aNode);
+  ScheduleExpiry(aNode);
 }
 
-/// A failed try: again after a pause, or the caller is told at once.
+/// Ends a failed attempt. Retries after a back-off, or refuses the request at
+/// once if no attempt is left or the deadline cannot be met.
 void
-world::Refused(flight& aFlight, refusal aWhy)
+simulation::HandleRefusal(in_flight_request& aRequest, refusal aReason)
 {
-  ReleaseAll(aFlight);
+  ReleaseReservations(aRequest);
   const unsigned attempts =
-    aFlight.mArrival->mShape.mLong ? mPolicy.mLongAttempts : mPolicy.mAttempts;
-  const bool again = aWhy != refusal::TooLate && aFlight.mAttempts < attempts;
-  if (!again) {
-    End(aFlight, request_outcome::Refused);
+    aRequest.mArrival->mShape.mLong ? mPolicy.mLongAttempts : mPolicy.mAttempts;
+  const bool retry =
+    aReason != refusal::TooLate && aRequest.mAttemptNumber < attempts;
+  if (!retry) {
+    Finish(aRequest, request_outcome::Refused);
     return;
   }
-  const duration pause =
-    RetryPause(aFlight.mAttempts, std::chrono::milliseconds(50), mRandom);
-  Later(aFlight, pause, &world::Place);
+  const duration backoff =
+    RetryPause(aRequest.mAttemptNumber, std::chrono::milliseconds(50), mRandom);
+  ScheduleStep(aRequest, backoff, &simulation::Place);
 }
 
 void
-world::Dispatched(std::size_t aSite)
+simulation::DispatchWaitingWork(std::size_t aNode)
 {
-  for (const std::string& attempt : Dispatch(mSites[aSite].mBoard, mNow)) {
-    Granted(mFlights[mByAttempt.at(attempt)]);
+  for (const std::string& attempt : Dispatch(mNodes[aNode].mAgent, mNow)) {
+    HandleGrant(mInFlight[mRequestOfAttempt.at(attempt)]);
   }
 }
 
 void
-world::Granted(flight& aFlight)
+simulation::HandleGrant(in_flight_request& aRequest)
 {
-  ++aFlight.mGranted;
-  if (aFlight.mGranted < aFlight.mGroup) {
-    Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
+  ++aRequest.mGrantedCount;
+  if (aRequest.mGrantedCount < aRequest.mGroupSize) {
+    ScheduleStep(
+      aRequest, 2 * mSettings.mOneWayDelay, &simulation::ReserveNext);
     return;
   }
-  Later(aFlight, 2 * mSettings.mOneWayDelay, &world::SubmitAll);
+  ScheduleStep(
+    aRequest, 2 * mSettings.mOneWayDelay, &simulation::SubmitToEngines);
 }
 
 void
-world::SubmitAll(flight& aFlight)
+simulation::SubmitToEngines(in_flight_request& aRequest)
 {
-  if (aFlight.mOver || aFlight.mGranted < aFlight.mGroup) {
+  if (aRequest.mFinished || aRequest.mGrantedCount < aRequest.mGroupSize) {
     return;
   }
-  aFlight.mSubmitted = true;
-  const arrival& own = *aFlight.mArrival;
-  const double parts = static_cast<double>(aFlight.mGroup);
-  for (std::size_t i = 0; i < aFlight.mSites.size(); ++i) {
-    site& one = mSites[aFlight.mSites[i]];
-    if (!StartReading(one.mBoard, aFlight.mAttempt, mNow)) {
-      Refused(aFlight, refusal::Cancelled);
+  aRequest.mSubmitted = true;
+  const arrival& arrived = *aRequest.mArrival;
+  const double parts = static_cast<double>(aRequest.mGroupSize);
+  for (std::size_t i = 0; i < aRequest.mNodes.size(); ++i) {
+    simulated_node& node = mNodes[aRequest.mNodes[i]];
+    if (!StartReading(node.mAgent, aRequest.mAttemptId, mNow)) {
+      HandleRefusal(aRequest, refusal::Cancelled);
       return;
     }
     engine_job job;
-    job.mId = aFlight.mAttempt;
-    job.mPromptTokens = own.mShape.mPromptTokens;
-    job.mOutputTokens = own.mOutput;
+    job.mId = aRequest.mAttemptId;
+    job.mPromptTokens = arrived.mShape.mPromptTokens;
+    job.mOutputTokens = arrived.mOutput;
     job.mReserveTokens =
-      one.mBoard.mWork.at(aFlight.mAttempt).mReservation.mShape.Need();
-    job.mMarks =
-      aFlight.mGroup > 1 ? std::vector<std::uint64_t>() : own.mShape.mMarks;
+      node.mAgent.mWork.at(aRequest.mAttemptId).mReservation.mShape.Need();
+    job.mMarks = aRequest.mGroupSize > 1 ? std::vector<std::uint64_t>()
+                                         : arrived.mShape.mMarks;
     job.mReadingPart = 1 / (1 + kGroupEfficiency * (parts - 1));
-    job.mGroupPart = aFlight.mGroup > 1;
+    job.mGroupPart = aRequest.mGroupSize > 1;
     constexpr unsigned kLongStep = 4;
     job.mPriority =
       !mPolicy.mEnginePriorities
         ? 0
-        : own.mShape.mPriority + (own.mShape.mLong ? kLongStep : 0);
-    Submit(one.mEngine, job, mNow);
-    Wake(aFlight.mSites[i]);
+        : arrived.mShape.mPriority + (arrived.mShape.mLong ? kLongStep : 0);
+    Submit(node.mEngine, job, mNow);
+    ScheduleEngineStep(aRequest.mNodes[i]);
   }
 }
 
 void
-world::Wake(std::size_t aSite)
+simulation::ScheduleEngineStep(std::size_t aNode)
 {
-  site& one = mSites[aSite];
-  if (!one.mEngine.mStepEnds || one.mWake == one.mEngine.mStepEnds) {
+  simulated_node& node = mNodes[aNode];
+  if (!node.mEngine.mStepEnds ||
+      node.mScheduledStep == node.mEngine.mStepEnds) {
     return;
   }
-  one.mWake = one.mEngine.mStepEnds;
-  At(*one.mWake, [this, aSite]() { StepDone(aSite); });
+  node.mScheduledStep = node.mEngine.mStepEnds;
+  ScheduleAt(*node.mScheduledStep, [this, aNode]() { RunEngineStep(aNode); });
 }
 
 void
-world::StepDone(std::size_t aSite)
+simulation::RunEngineStep(std::size_t aNode)
 {
-  site& one = mSites[aSite];
-  if (one.mWake != mNow) {
+  simulated_node& node = mNodes[aNode];
+  if (node.mScheduledStep != mNow) {
     return;
   }
-  one.mWake.reset();
-  for (const engine_output& output : Advance(one.mEngine, mNow)) {
-    TakeOutput(aSite, output);
+  node.mScheduledStep.reset();
+  for (const engine_output& output : Advance(node.mEngine, mNow)) {
+    HandleOutput(aNode, output);
   }
-  Dispatched(aSite);
-  Wake(aSite);
+  DispatchWaitingWork(aNode);
+  ScheduleEngineStep(aNode);
 }
 
 void
-world::TakeOutput(std::size_t aSite, const engine_output& aOutput)
+simulation::HandleOutput(std::size_t aNode, const engine_output& aOutput)
 {
-  flight& own = mFlights[mByAttempt.at(aOutput.mId)];
-  if (own.mOver || own.mAttempt != aOutput.mId) {
+  in_flight_request& request = mInFlight[mRequestOfAttempt.at(aOutput.mId)];
+  if (request.mFinished || request.mAttemptId != aOutput.mId) {
     return;
   }
   if (aOutput.mPartRead) {
-    NoteFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
-    PartRead(own);
+    NoteFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
+    HandlePrefilledPart(request);
     return;
   }
-  request_record& record = mResult.mRequests[own.mIndex];
+  request_record& record = mResult.mRequests[request.mIndex];
   if (aOutput.mIndex == 0) {
-    NoteFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
+    NoteFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
     record.mSecondsToFirstToken =
-      Seconds(mNow + mSettings.mOneWayDelay - own.mArrival->mAt);
+      Seconds(mNow + mSettings.mOneWayDelay - request.mArrival->mTime);
   }
   if (aOutput.mLast) {
-    End(own, request_outcome::Complete);
+    Finish(request, request_outcome::Complete);
   }
 }
 
 void
-world::PartRead(flight& aFlight)
+simulation::HandlePrefilledPart(in_flight_request& aRequest)
 {
-  ++aFlight.mPartsRead;
-  if (aFlight.mPartsRead < aFlight.mGroup) {
+  ++aRequest.mPrefilledParts;
+  if (aRequest.mPrefilledParts < aRequest.mGroupSize) {
     return;
   }
-  const std::size_t lead = aFlight.mSites.front();
-  BeginWriting(mSites[lead].mEngine, aFlight.mAttempt, mNow);
-  Wake(lead);
+  const std::size_t lead = aRequest.mNodes.front();
+  BeginWriting(mNodes[lead].mEngine, aRequest.mAttemptId, mNow);
+  ScheduleEngineStep(lead);
 }
 
 void
-world::ReleaseAll(flight& aFlight)
+simulation::ReleaseReservations(in_flight_request& aRequest)
 {
-  const std::vector<std::size_t> sites = std::move(aFlight.mSites);
-  aFlight.mSites.clear();
-  aFlight.mGranted = 0;
-  for (const std::size_t one : sites) {
-    Cancel(mSites[one].mEngine, aFlight.mAttempt);
-    Release(mSites[one].mBoard, aFlight.mAttempt, mNow);
-    --mOutstanding[aFlight.mEntry][one];
+  const std::vector<std::size_t> nodes = std::move(aRequest.mNodes);
+  aRequest.mNodes.clear();
+  aRequest.mGrantedCount = 0;
+  for (const std::size_t node : nodes) {
+    Cancel(mNodes[node].mEngine, aRequest.mAttemptId);
+    Release(mNodes[node].mAgent, aRequest.mAttemptId, mNow);
+    --mOutstanding[aRequest.mGateway][node];
   }
-  for (const std::size_t one : sites) {
-    Dispatched(one);
+  for (const std::size_t node : nodes) {
+    DispatchWaitingWork(node);
   }
 }
 
 void
-world::End(flight& aFlight, request_outcome aEnd)
+simulation::Finish(in_flight_request& aRequest, request_outcome aOutcome)
 {
-  aFlight.mOver = true;
-  --mOpen;
-  ReleaseAll(aFlight);
-  request_record& record = mResult.mRequests[aFlight.mIndex];
-  record.mEnd = aEnd;
+  aRequest.mFinished = true;
+  --mUnfinishedCount;
+  ReleaseReservations(aRequest);
+  request_record& record = mResult.mRequests[aRequest.mIndex];
+  record.mOutcome = aOutcome;
   record.mSecondsToEnd =
-    Seconds(mNow + mSettings.mOneWayDelay - aFlight.mArrival->mAt);
+    Seconds(mNow + mSettings.mOneWayDelay - aRequest.mArrival->mTime);
   record.mSecondsToRefusal =
-    aEnd == request_outcome::Refused ? record.mSecondsToEnd : 0;
+    aOutcome == request_outcome::Refused ? record.mSecondsToEnd : 0;
 }
 
 void
-world::SetExpiry(std::size_t aSite)
+simulation::ScheduleExpiry(std::size_t aNode)
 {
-  site& one = mSites[aSite];
-  const std::optional<time_point> next = NextExpiry(one.mBoard);
-  if (one.mExpirySet || !next) {
+  simulated_node& node = mNodes[aNode];
+  const std::optional<time_point> next = NextExpiry(node.mAgent);
+  if (node.mExpiryScheduled || !next) {
     return;
   }
-  one.mExpirySet = true;
-  // Looked at often enough; a look too many does nothing.
-  constexpr duration kLook = std::chrono::milliseconds(20);
-  At(std::max(mNow + kLook, std::min(*next, mNow + 5 * kLook)),
-     [this, aSite]() { RunExpiry(aSite); });
+  node.mExpiryScheduled = true;
+  // Checks at least every 100 ms while anything can expire. A check that finds
+  // nothing expired has no effect.
+  constexpr duration kMinInterval = std::chrono::milliseconds(20);
+  ScheduleAt(
+    std::max(mNow + kMinInterval, std::min(*next, mNow + 5 * kMinInterval)),
+    [this, aNode]() { RunExpiry(aNode); });
 }
 
 void
-world::RunExpiry(std::size_t aSite)
-{
-  site& one = mSites[aSite];
-  one.mExpirySet = false;
-  for (const expired_work& item : Expire(one.mBoard, mNow)) {
-    flight& own = mFlights[mByAttempt.at(item.mAttempt)];
-    if (!own.mOver && own.mAttempt == item.mAttempt) {
-      Refused(own, refusal::NoRoom);
+simulation::RunExpiry(std::size_t aNode)
+{
+  simulated_node& node = mNodes[aNode];
+  node.mExpiryScheduled = false;
+  for (const expired_work& item : Expire(node.mAgent, mNow)) {
+    in_flight_request& request = mInFlight[mRequestOfAttempt.at(item.mAttempt)];
+    if (!request.mFinished && request.mAttemptId == item.mAttempt) {
+      HandleRefusal(request, refusal::NoRoom);
     }
   }
-  Dispatched(aSite);
-  SetExpiry(aSite);
+  DispatchWaitingWork(aNode);
+  ScheduleExpiry(aNode);
 }
 
-/// The reports that baselines see: made now, seen after the lag.
+/// Takes the load reports that the placement baselines use. A report becomes
+/// visible after the report lag; then the next one is taken.
 void
-world::Report()
+simulation::PublishLoadReports()
 {
-  for (std::size_t i = 0; i < mSites.size(); ++i) {
-    const site& one = mSites[i];
-    double unread = UnreadByEngine(one.mEngine);
-    std::size_t running = one.mEngine.mJobs.size();
-    for (const auto& [attempt, work] : one.mBoard.mWork) {
+  for (std::size_t i = 0; i < mNodes.size(); ++i) {
+    const simulated_node& node = mNodes[i];
+    double unread = UnreadByEngine(node.mEngine);
+    std::size_t running = node.mEngine.mJobs.size();
+    for (const auto& [attempt, work] : node.mAgent.mWork) {
       if (work.mStage == stage::Waiting || work.mStage == stage::Granted) {
         unread += static_cast<double>(work.mReservation.mShape.mPromptTokens);
         ++running;
       }
     }
-    At(mNow + mSettings.mLoadReportLag, [this, i, unread, running]() {
-      mSites[i].mReportedUnread = unread;
-      mSites[i].mReportedRunning = running;
+    ScheduleAt(mNow + mSettings.mLoadReportLag, [this, i, unread, running]() {
+      mNodes[i].mReportedUnreadTokens = unread;
+      mNodes[i].mReportedRunning = running;
     });
   }
-  At(mNow + mSettings.mLoadReportLag, [this]() { Report(); });
+  ScheduleAt(mNow + mSettings.mLoadReportLag,
+             [this]() { PublishLoadReports(); });
 }
 
 void
-world::Kill(std::size_t aSite)
-{
-  site& one = mSites[aSite];
-  one.mDown = true;
-  one.mBoard.mEngineUp = false;
-  std::vector<std::size_t> victims;
-  for (const auto& [attempt, work] : one.mBoard.mWork) {
-    victims.push_back(mByAttempt.at(attempt));
-  }
-  one.mEngine = MakeEngine(mSettings.mEngine);
-  one.mWake.reset();
-  for (const std::size_t victim : victims) {
-    if (!mFlights[victim].mOver) {
-      Refused(mFlights[victim], refusal::EngineDown);
+simulation::CrashEngine(std::size_t aNode)
+{
+  simulated_node& node = mNodes[aNode];
+  node.mDown = true;
+  node.mAgent.mEngineUp = false;
+  std::vector<std::size_t> affectedRequests;
+  for (const auto& [attempt, work] : node.mAgent.mWork) {
+    affectedRequests.push_back(mRequestOfAttempt.at(attempt));
+  }
+  node.mEngine = MakeEngine(mSettings.mEngine);
+  node.mScheduledStep.reset();
+  for (const std::size_t index : affectedRequests) {
+    if (!mInFlight[index].mFinished) {
+      HandleRefusal(mInFlight[index], refusal::EngineDown);
     }
   }
-  constexpr duration kDownFor = std::chrono::seconds(60);
-  At(mNow + kDownFor, [this, aSite]() {
-    mSites[aSite].mDown = false;
-    mSites[aSite].mBoard.mEngineUp = true;
-    mSites[aSite].mBoard.mStarted = mNow;
-    mSites[aSite].mBoard.mCache.Clear();
+  constexpr duration kDowntime = std::chrono::seconds(60);
+  ScheduleAt(mNow + kDowntime, [this, aNode]() {
+    mNodes[aNode].mDown = false;
+    mNodes[aNode].mAgent.mEngineUp = true;
+    mNodes[aNode].mAgent.mStarted = mNow;
+    mNodes[aNode].mAgent.mCache.Clear();
   });
 }
 
@@ -680,8 +708,8 @@
               const std::vector<arrival>& aArrivals,
               std::uint64_t aSeed)
 {
-  world one(aSettings, aPolicy, aMix, aArrivals, aSeed);
-  return one.Run();
+  simulation run(aSettings, aPolicy, aMix, aArrivals, aSeed);
+  return run.Run();
 }
 
 } // namespace primrose::bench
--- a/Utilities/Bench/World.h
+++ b/Utilities/Bench/World.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// A fleet of engine models with an agent's board each, a few entries, and a
-/// fixed delay between them, in virtual time. It calls the same decisions as
-/// the daemons do. There is no network, no store and no VM in it.
+/// Simulates a fleet in virtual time: engine models with an agent each, a few
+/// gateways, and a fixed message delay between gateways and agents. It calls
+/// the same decision functions as the daemons. Network, store and VMs are not
+/// simulated.
 
 #include "LibModel/LibModel.h"
 #include "Mix.h"
@@ -15,8 +16,9 @@
 
 namespace primrose::bench {
 
-/// How a request's engine is chosen. The first four are what serving layers
-/// usually do; they see a load report that lags.
+/// How the engine of a request is chosen. The first four are baselines, common
+/// policies of serving layers. TwoChoices and ShortestQueue use load reports,
+/// which lag behind the real load.
 enum class placement_kind : std::uint8_t
 {
   RoundRobin,
@@ -43,13 +45,15 @@
 {
   engine_shape mEngine;
   std::size_t mEngines = 20;
-  std::size_t mEntries = 4;
+  std::size_t mGateways = 4;
   duration mOneWayDelay = std::chrono::microseconds(1500);
   duration mLoadReportLag = std::chrono::milliseconds(500);
-  double mProbeLossRate = 0;        ///< Part of the probes that get no answer.
-  double mQueueWaitSeconds = 2;     ///< Of a short request at one agent.
-  double mLongQueueWaitSeconds = 5; ///< Of a long one.
-  /// Engines that die at half the time, to come back empty after 60 s.
+  double mProbeLossRate = 0; ///< Fraction of probes without an answer.
+  /// Maximum time in the queue of one agent, for short and for long requests.
+  double mQueueWaitSeconds = 2;
+  double mLongQueueWaitSeconds = 5;
+  /// Number of engines that crash half-way through the run. They restart empty
+  /// after 60 s.
   std::size_t mEngineCrashes = 0;
   bool operator==(const simulation_settings&) const = default;
 };
@@ -57,16 +61,16 @@
 enum class request_outcome : std::uint8_t
 {
   Complete,
-  Refused, ///< Told "not run" before anything ran.
-  Late,    ///< Its time limit came first.
-  Failed,  ///< Its engine died under it.
+  Refused,  ///< Rejected before any of it was executed.
+  TimedOut, ///< Reached its time limit.
+  Failed,   ///< Lost because its engine crashed.
 };
 
 struct request_record
 {
   std::size_t mArrival = 0;
-  request_outcome mEnd = request_outcome::Refused;
-  double mSecondsToFirstToken = 0; ///< Seconds from arrival.
+  request_outcome mOutcome = request_outcome::Refused;
+  double mSecondsToFirstToken = 0; ///< All times count from arrival.
   double mSecondsToEnd = 0;
   double mSecondsToRefusal = 0;
 
@@ -78,13 +82,14 @@
   std::vector<request_record> mRequests;
   std::uint64_t mProbes = 0;
   std::uint64_t mReservations = 0;
-  double mBusySeconds = 0;  ///< Over all engines.
-  tokens mLeakedTokens = 0; ///< Held by boards and engines at the end: 0.
+  double mBusySeconds = 0; ///< Sum over all engines.
+  /// Still reserved in agents and engines at the end; must be 0.
+  tokens mLeakedTokens = 0;
 
   bool operator==(const simulation_result&) const = default;
 };
 
-/// Runs all arrivals to their ends.
+/// Simulates until every request has ended.
 simulation_result
 RunSimulation(const simulation_settings& aSettings,
               const bench_policy& aPolicy,
