--- a/Utilities/Load/LoadPlan.cpp
+++ b/Utilities/Load/LoadPlan.cpp
@@ -5,10 +5,10 @@
 namespace {
 
 constexpr number_range kCallCountRange = { 0, 1e6, "requests" };
-constexpr number_range kTokens = { 1, 1e8, "tokens" };
+constexpr number_range kTokenRange = { 1, 1e8, "tokens" };
 
 std::uint64_t
-Whole(std::optional<double> aNumber, std::uint64_t aDefault)
+IntegerOr(std::optional<double> aNumber, std::uint64_t aDefault)
 {
   return aNumber ? static_cast<std::uint64_t>(*aNumber) : aDefault;
 }
@@ -40,15 +40,16 @@
   }
   for (const auto& [size, count] : prompts->items()) {
     const std::optional<double> tokens = ParseNumber(size);
-    const bool good = tokens && *tokens >= 1 && *tokens <= kTokens.mHighest &&
-                      count.is_number_unsigned();
-    if (!good) {
+    const bool valid = tokens && *tokens >= 1 &&
+                       *tokens <= kTokenRange.mHighest &&
+                       count.is_number_unsigned();
+    if (!valid) {
       aProblems.push_back(
         { "/prompts/" + size,
           "expected tokens and a count, found " + Shown(count) });
       continue;
     }
-    aPlan.mPrompts.push_back(
+    aPlan.mPromptSizes.push_back(
       { static_cast<std::uint64_t>(*tokens), count.get<std::uint64_t>() });
   }
 }
@@ -63,26 +64,27 @@
   settings_problems problems;
   object_reader reader(&document, "", problems);
   load_plan plan;
-  plan.mEntries = reader.Texts("entries");
+  plan.mGateways = reader.Texts("entries");
   ReadCallers(reader, plan);
   plan.mModel = reader.RequiredText("model");
   plan.mService = reader.Text("service").value_or("");
   plan.mGuardedPath = reader.Text("guarded_path").value_or("/");
   plan.mPlainPath = reader.Text("plain_path").value_or("/");
   ReadPrompts(reader, plan, problems);
-  plan.mPlainCalls = Whole(reader.Number("plain_calls", kCallCountRange), 0);
+  plan.mPlainCalls =
+    IntegerOr(reader.Number("plain_calls", kCallCountRange), 0);
   plan.mGuardedCalls =
-    Whole(reader.Number("guarded_calls", kCallCountRange), 0);
-  plan.mConcurrency =
-    Whole(reader.Number("at_once", { 1, 256, "requests" }), plan.mConcurrency);
+    IntegerOr(reader.Number("guarded_calls", kCallCountRange), 0);
+  plan.mConcurrency = IntegerOr(
+    reader.Number("at_once", { 1, 256, "requests" }), plan.mConcurrency);
   plan.mOutputTokens =
-    Whole(reader.Number("output_tokens", kTokens), plan.mOutputTokens);
-  plan.mSeed = Whole(reader.Number("seed", { 0, 1e9, "seed" }), plan.mSeed);
+    IntegerOr(reader.Number("output_tokens", kTokenRange), plan.mOutputTokens);
+  plan.mSeed = IntegerOr(reader.Number("seed", { 0, 1e9, "seed" }), plan.mSeed);
   plan.mTimeLimitSeconds =
     reader.Number("time_limit_s", { 0.1, 86400, "seconds" })
       .value_or(plan.mTimeLimitSeconds);
   reader.Finish();
-  if (plan.mEntries.empty() || plan.mCallers.empty()) {
+  if (plan.mGateways.empty() || plan.mCallers.empty()) {
     problems.push_back({ "/", "expected entries and callers, found none" });
   }
   BOOST_LEAF_CHECK(RequireNoProblems(problems, aFile));
--- a/Utilities/Load/LoadPlan.h
+++ b/Utilities/Load/LoadPlan.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the load tool sends; read from its settings file.
+/// The requests that the load tool sends, as read from its settings file.
 
 #include "LibSettings/LibSettings.h"
 
@@ -28,13 +28,13 @@
 
 struct load_plan
 {
-  std::vector<std::string> mEntries;
+  std::vector<std::string> mGateways;
   std::vector<caller_key> mCallers;
   std::string mModel;
   std::string mService;
   std::string mGuardedPath;
   std::string mPlainPath;
-  std::vector<prompt_size> mPrompts;
+  std::vector<prompt_size> mPromptSizes;
   std::uint64_t mPlainCalls = 0;
   std::uint64_t mGuardedCalls = 0;
   std::uint64_t mConcurrency = 8;
--- a/Utilities/Load/LoadRun.cpp
+++ b/Utilities/Load/LoadRun.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr unsigned kGood = 200;
-constexpr std::string_view kDone = "[DONE]";
+constexpr unsigned kStatusOk = 200;
+constexpr std::string_view kEndOfStream = "[DONE]";
 constexpr std::size_t kMaxReportedBytes = 160;
 
-/// A stream that is being read by a caller.
-struct reading
+/// A streamed answer that is being received and checked.
+struct checked_stream
 {
   planned_request mRequest;
   kj::Own<http_stream> mStream;
@@ -24,44 +24,46 @@
   std::string mExpected;
   time_point mStarted;
   request_result mResult;
-  bool mDone = false;
+  bool mEnded = false;
 };
 
-/// Takes one event's data; false if it says that the answer is cut off.
+/// Handles the data of one event. Returns false if the event reports an error.
 bool
-HandleStreamEvent(reading& aReading, const std::string& aData, time_point aNow)
+HandleStreamEvent(checked_stream& aChecked,
+                  const std::string& aData,
+                  time_point aNow)
 {
-  if (aData == kDone) {
-    aReading.mDone = true;
+  if (aData == kEndOfStream) {
+    aChecked.mEnded = true;
     return true;
   }
   const json event = json::parse(aData, nullptr, false);
   if (event.contains("error")) {
-    aReading.mResult.mProblem = aData.substr(0, kMaxReportedBytes);
+    aChecked.mResult.mProblem = aData.substr(0, kMaxReportedBytes);
     return false;
   }
   const json& choice = event.at("choices").at(0);
   if (!choice.at("finish_reason").is_null()) {
     return true;
   }
-  if (aReading.mText.empty()) {
-    aReading.mResult.mFirstTokenSeconds = Seconds(aNow - aReading.mStarted);
+  if (aChecked.mText.empty()) {
+    aChecked.mResult.mFirstTokenSeconds = Seconds(aNow - aChecked.mStarted);
   }
-  aReading.mText += choice.at("text").get<std::string>();
+  aChecked.mText += choice.at("text").get<std::string>();
   return true;
 }
 
 void
-Judge(reading& aReading, time_point aNow)
+CheckStream(checked_stream& aChecked, time_point aNow)
 {
-  request_result& result = aReading.mResult;
-  result.mSeconds = Seconds(aNow - aReading.mStarted);
+  request_result& result = aChecked.mResult;
+  result.mSeconds = Seconds(aNow - aChecked.mStarted);
   if (!result.mProblem.empty()) {
     return;
   }
-  if (!aReading.mDone) {
+  if (!aChecked.mEnded) {
     result.mProblem = "the stream ended without [DONE]";
-  } else if (aReading.mText != aReading.mExpected) {
+  } else if (aChecked.mText != aChecked.mExpected) {
     result.mProblem = "the answer is not the one to this prompt";
   } else {
     result.mCorrect = true;
@@ -69,27 +71,27 @@
 }
 
 kj::Promise<request_result>
-ReadStream(const clock_source& aClock, kj::Own<reading> aReading)
+ReadStream(const clock_source& aClock, kj::Own<checked_stream> aChecked)
 {
-  reading& state = *aReading;
-  return state.mStream->Read().then(
-    [&aClock, own = kj::mv(aReading)](
+  checked_stream& checked = *aChecked;
+  return checked.mStream->Read().then(
+    [&aClock, owned = kj::mv(aChecked)](
       std::string aBytes) mutable -> kj::Promise<request_result> {
       if (aBytes.empty()) {
-        Judge(*own, aClock.Now());
-        return own->mResult;
+        CheckStream(*owned, aClock.Now());
+        return owned->mResult;
       }
       const outcome<std::vector<std::string>> events =
         Capture<std::vector<std::string>>(
-          [&]() { return own->mParser.Feed(aBytes); });
+          [&]() { return owned->mParser.Feed(aBytes); });
       if (!events) {
-        own->mResult.mProblem = events.mFailure.mMessage;
-        return own->mResult;
+        owned->mResult.mProblem = events.mFailure.mMessage;
+        return owned->mResult;
       }
       for (const std::string& data : *events.mValue) {
-        HandleStreamEvent(*own, data, aClock.Now());
+        HandleStreamEvent(*owned, data, aClock.Now());
       }
-      return ReadStream(aClock, kj::mv(own));
+      return ReadStream(aClock, kj::mv(owned));
     });
 }
 
@@ -113,10 +115,10 @@
     requests.push_back({ aKind,
                          aTokens,
                          number % aPlan.mCallers.size(),
-                         number % aPlan.mEntries.size(),
+                         number % aPlan.mGateways.size(),
                          number });
   };
-  for (const prompt_size& size : aPlan.mPrompts) {
+  for (const prompt_size& size : aPlan.mPromptSizes) {
     for (std::uint64_t i = 0; i < size.mCount; ++i) {
       constexpr std::uint64_t kStreamedOfThree = 2;
       const bool streamed = i % 3 < kStreamedOfThree;
@@ -173,10 +175,10 @@
 kj::Promise<void>
 load_run::RunWorker()
 {
-  if (mNext == mRequests.size()) {
+  if (mNextRequest == mRequests.size()) {
     return kj::READY_NOW;
   }
-  const planned_request request = mRequests[mNext++];
+  const planned_request request = mRequests[mNextRequest++];
   return Send(request)
     .catch_([request](kj::Exception&& aException) {
       request_result failed;
@@ -208,12 +210,12 @@
 }
 
 http_request
-load_run::CompletionRequest(const planned_request& aRequest,
-                            const std::string& aPrompt,
-                            bool aStream) const
+load_run::MakeCompletionRequest(const planned_request& aRequest,
+                                const std::string& aPrompt,
+                                bool aStream) const
 {
   http_request request{
-    "POST", "http://" + mPlan.mEntries[aRequest.mEntry] + "/v1/completions"
+    "POST", "http://" + mPlan.mGateways[aRequest.mGateway] + "/v1/completions"
   };
   request.mHeaders = {
     { "Authorization", "Bearer " + mPlan.mCallers[aRequest.mCaller].mKey },
@@ -232,19 +234,19 @@
 load_run::SendStreamed(const planned_request& aRequest)
 {
   const std::string prompt = MakePrompt(aRequest.mTokens, aRequest.mNumber);
-  kj::Own<reading> state = kj::heap<reading>();
-  state->mResult.mRequest = aRequest;
-  state->mExpected = WholeAnswer(prompt, mPlan.mOutputTokens);
-  state->mStarted = mClock.Now();
-  return mHttp.Open(CompletionRequest(aRequest, prompt, true))
-    .then([this, own = kj::mv(state)](kj::Own<http_stream> aStream) mutable
+  kj::Own<checked_stream> checked = kj::heap<checked_stream>();
+  checked->mResult.mRequest = aRequest;
+  checked->mExpected = WholeAnswer(prompt, mPlan.mOutputTokens);
+  checked->mStarted = mClock.Now();
+  return mHttp.Open(MakeCompletionRequest(aRequest, prompt, true))
+    .then([this, owned = kj::mv(checked)](kj::Own<http_stream> aStream) mutable
           -> kj::Promise<request_result> {
-      if (aStream->Status() != kGood) {
-        own->mResult.mProblem = fmt::format("status {}", aStream->Status());
-        return own->mResult;
+      if (aStream->Status() != kStatusOk) {
+        owned->mResult.mProblem = fmt::format("status {}", aStream->Status());
+        return owned->mResult;
       }
-      own->mStream = kj::mv(aStream);
-      return ReadStream(mClock, kj::mv(own));
+      owned->mStream = kj::mv(aStream);
+      return ReadStream(mClock, kj::mv(owned));
     });
 }
 
@@ -254,13 +256,13 @@
   const std::string prompt = MakePrompt(aRequest.mTokens, aRequest.mNumber);
   const std::string expected = WholeAnswer(prompt, mPlan.mOutputTokens);
   const time_point started = mClock.Now();
-  return mHttp.Send(CompletionRequest(aRequest, prompt, false))
+  return mHttp.Send(MakeCompletionRequest(aRequest, prompt, false))
     .then([this, aRequest, expected, started](http_response aResponse) {
       request_result result;
       result.mRequest = aRequest;
       result.mSeconds = Seconds(mClock.Now() - started);
       const json body = json::parse(aResponse.mBody, nullptr, false);
-      if (aResponse.mStatus != kGood || !body.contains("choices")) {
+      if (aResponse.mStatus != kStatusOk || !body.contains("choices")) {
         result.mProblem = aResponse.mBody.substr(0, kMaxReportedBytes);
       } else if (body["choices"][0]["text"] != expected) {
         result.mProblem = "the answer is not the one to this prompt";
@@ -272,13 +274,14 @@
 }
 
 http_request
-load_run::CallRequest(const planned_request& aRequest, std::size_t aEntry) const
+load_run::MakeCallRequest(const planned_request& aRequest,
+                          std::size_t aGateway) const
 {
   const bool guarded = aRequest.mKind == request_kind::GuardedCall;
   http_request request{ guarded ? "POST" : "GET",
                         fmt::format(
                           "http://{}/services/{}{}",
-                          mPlan.mEntries[aEntry % mPlan.mEntries.size()],
+                          mPlan.mGateways[aGateway % mPlan.mGateways.size()],
                           mPlan.mService,
                           guarded ? mPlan.mGuardedPath : mPlan.mPlainPath) };
   request.mHeaders = {
@@ -298,12 +301,12 @@
 load_run::SendCall(const planned_request& aRequest)
 {
   const time_point started = mClock.Now();
-  return mHttp.Send(CallRequest(aRequest, aRequest.mEntry))
+  return mHttp.Send(MakeCallRequest(aRequest, aRequest.mGateway))
     .then([this, aRequest, started](http_response aResponse) {
       request_result result;
       result.mRequest = aRequest;
       result.mSeconds = Seconds(mClock.Now() - started);
-      result.mCorrect = aResponse.mStatus == kGood;
+      result.mCorrect = aResponse.mStatus == kStatusOk;
       if (!result.mCorrect) {
         result.mProblem = aResponse.mBody.substr(0, kMaxReportedBytes);
       }
@@ -316,8 +319,8 @@
 {
   const time_point started = mClock.Now();
   kj::Vector<kj::Promise<http_response>> both;
-  both.add(mHttp.Send(CallRequest(aRequest, aRequest.mEntry)));
-  both.add(mHttp.Send(CallRequest(aRequest, aRequest.mEntry + 1)));
+  both.add(mHttp.Send(MakeCallRequest(aRequest, aRequest.mGateway)));
+  both.add(mHttp.Send(MakeCallRequest(aRequest, aRequest.mGateway + 1)));
   return kj::joinPromises(both.releaseAsArray())
     .then([this, aRequest, started](kj::Array<http_response> aResponses) {
       request_result result;
@@ -326,9 +329,10 @@
       result.mCorrect = true;
       for (const http_response& response : aResponses) {
         const json body = json::parse(response.mBody, nullptr, false);
-        const bool once = response.mStatus == kGood && body.is_object() &&
-                          body.value("execution", 0) == 1;
-        if (!once) {
+        const bool executedOnce = response.mStatus == kStatusOk &&
+                                  body.is_object() &&
+                                  body.value("execution", 0) == 1;
+        if (!executedOnce) {
           result.mCorrect = false;
           result.mProblem = response.mBody.substr(0, kMaxReportedBytes);
         }
@@ -342,7 +346,7 @@
 {
   constexpr std::uint64_t kShortPrompt = 1000;
   const std::string prompt = MakePrompt(kShortPrompt, aNumber);
-  http_request request = CompletionRequest({}, prompt, true);
+  http_request request = MakeCompletionRequest({}, prompt, true);
   if (!aEngine.empty()) {
     request.mUrl = "http://" + aEngine + "/v1/completions";
     request.mBody = json{
@@ -355,7 +359,7 @@
   return mHttp.Open(std::move(request))
     .then([this, started](kj::Own<http_stream> aStream) {
       kj::Promise<std::string> first = aStream->Read();
-      return first.then([this, started, own = kj::mv(aStream)](std::string) {
+      return first.then([this, started, stream = kj::mv(aStream)](std::string) {
         return Seconds(mClock.Now() - started);
       });
     });
--- a/Utilities/Load/LoadRun.h
+++ b/Utilities/Load/LoadRun.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Sends the planned requests and checks every answer: a completion must be
-/// the whole and right answer to its own prompt, a guarded call must have been
-/// executed once although it is sent twice, through two entries.
+/// Sends the planned requests and checks every answer. A completion must be
+/// complete and match its prompt. A guarded call is sent twice, through two
+/// gateways, and must have been executed once.
 
 #include "LoadPlan.h"
 
@@ -27,7 +27,7 @@
   request_kind mKind = request_kind::Plain;
   std::uint64_t mTokens = 0;
   std::size_t mCaller = 0;
-  std::size_t mEntry = 0;
+  std::size_t mGateway = 0;
   std::uint64_t mNumber = 0;
 
   bool operator==(const planned_request&) const = default;
@@ -44,11 +44,11 @@
   bool operator==(const request_result&) const = default;
 };
 
-/// The plan's requests in a shuffled order that its seed fixes.
+/// Returns the plan's requests, shuffled with the plan's seed.
 std::vector<planned_request>
 PlanRequests(const load_plan& aPlan);
 
-/// A text of about so many tokens, different for each number.
+/// Returns a text of about `aTokens` tokens that is different for each number.
 std::string
 MakePrompt(std::uint64_t aTokens, std::uint64_t aNumber);
 
@@ -57,12 +57,13 @@
 public:
   load_run(const clock_source& aClock, load_plan aPlan);
 
-  /// Sends everything; `aProgress` is called after each answer.
+  /// Sends all requests. After each answer `aProgress` is called with the
+  /// number of requests that have ended.
   kj::Promise<void> Run(std::function<void(std::size_t)> aProgress);
   const std::vector<request_result>& Results() const { return mResults; }
 
-  /// The time to the first token of a short streamed prompt through an entry,
-  /// or straight from an engine where `aEngine` is not empty.
+  /// Measures the seconds to the first token of a short streamed prompt, sent
+  /// through a gateway or, if `aEngine` is not empty, directly to that engine.
   kj::Promise<double> MeasureFirstToken(const std::string& aEngine,
                                         std::uint64_t aNumber);
 
@@ -73,17 +74,17 @@
   kj::Promise<request_result> SendPlain(const planned_request& aRequest);
   kj::Promise<request_result> SendCall(const planned_request& aRequest);
   kj::Promise<request_result> SendGuarded(const planned_request& aRequest);
-  http_request CompletionRequest(const planned_request& aRequest,
-                                 const std::string& aPrompt,
-                                 bool aStream) const;
-  http_request CallRequest(const planned_request& aRequest,
-                           std::size_t aEntry) const;
+  http_request MakeCompletionRequest(const planned_request& aRequest,
+                                     const std::string& aPrompt,
+                                     bool aStream) const;
+  http_request MakeCallRequest(const planned_request& aRequest,
+                               std::size_t aGateway) const;
 
   const clock_source& mClock;
   load_plan mPlan;
   http_client mHttp;
   std::vector<planned_request> mRequests;
-  std::size_t mNext = 0;
+  std::size_t mNextRequest = 0;
   std::vector<request_result> mResults;
   std::function<void(std::size_t)> mProgress;
 };
--- a/Utilities/Load/Main.cpp
+++ b/Utilities/Load/Main.cpp
@@ -1,5 +1,5 @@
-/// primrose-load: sends a mixed load through entries, checks every answer and
-/// prints a table of outcomes and of the time to the first token.
+/// primrose-load: sends a mixed load through gateways, checks every answer and
+/// prints a table of outcomes and times to the first token.
 
 #include "LoadRun.h"
 
@@ -82,8 +82,8 @@
   const bool terminal = isatty(STDERR_FILENO) != 0;
   aRun
     .Run([&](std::size_t aDone) {
-      constexpr std::size_t kLineEvery = 20;
-      if (terminal || aDone % kLineEvery == 0 || aDone == aTotal) {
+      constexpr std::size_t kProgressInterval = 20;
+      if (terminal || aDone % kProgressInterval == 0 || aDone == aTotal) {
         std::cerr << fmt::format("{}{} of {} answered{}",
                                  terminal ? "\r" : "",
                                  aDone,
@@ -109,8 +109,9 @@
   return wrong == 0 ? kExitGood : kExitFailed;
 }
 
-/// Alternates between the entry and the engine itself, so that whatever else
-/// the machine does falls on both.
+/// Compares the time to the first token through a gateway with that of a direct
+/// request to the engine. Alternates between the two, so that other load on the
+/// machine affects both equally.
 int
 CompareWithEngine(load_run& aRun, main_loop& aLoop, const std::string& aEngine)
 {
@@ -122,14 +123,14 @@
     direct.push_back(aRun.MeasureFirstToken(aEngine, i).wait(aLoop.Scope()));
   }
   for (const double part : { 0.5, 0.95 }) {
-    const double own = Percentile(through, part);
+    const double gateway = Percentile(through, part);
     const double engine = Percentile(direct, part);
     std::cout << fmt::format("first token p{:.0f}: through the entry {:.2f} "
                              "ms, direct {:.2f} ms, ratio {:.3f}, n {}\n",
                              part * 100,
-                             own * 1000,
+                             gateway * 1000,
                              engine * 1000,
-                             own / engine,
+                             gateway / engine,
                              kRounds);
   }
   return kExitGood;
@@ -145,16 +146,16 @@
   }
   const system_clock_source clock;
   main_loop loop;
-  // The load is waited for outside of the loop's own run, so that quitting the
-  // loop would not end it.
+  // The load runs in wait() rather than in the loop's Run(), so quitting the
+  // loop would not end it. The process exits directly instead.
   constexpr int kInterrupted = 130;
   loop.OnTerminate([]() { std::_Exit(kInterrupted); });
   if (aOptions.mValues.count("compare") != 0) {
-    // One token: a longer answer would still be written, and slow its engine,
-    // when the next request comes.
-    load_plan one = plan;
-    one.mOutputTokens = 1;
-    load_run run(clock, one);
+    // One output token: the engine would still be decoding a longer answer, and
+    // be slowed down by it, when the next request arrives.
+    load_plan singleToken = plan;
+    singleToken.mOutputTokens = 1;
+    load_run run(clock, singleToken);
     return CompareWithEngine(
       run, loop, aOptions.mValues["compare"].as<std::string>());
   }
