--- a/Utilities/StandIn/EngineFace.cpp
+++ b/Utilities/StandIn/EngineFace.cpp
@@ -1,16 +1,18 @@
-/// A model engine: the engine model run in real time behind HTTP.
+/// Emulates a model engine: runs the engine model in real time behind HTTP.
 ///
 /// - `POST /v1/completions` `{id, prompt, max_tokens, priority, members}`: an
 ///   event stream of `{"index","text"}`, ended by `[DONE]`
-/// - `GET /v1/streams/resume?id=&from=`: the same stream from a token on
+/// - `GET /v1/streams/resume?id=&from=`: the same stream from the
+///   given token on
 /// - `POST /v1/streams/cancel` `{id}`, `GET /v1/streams`
 /// - `POST /v1/kv/hold` `{id, tokens}`, `/v1/kv/release` `{id}`,
 ///   `/v1/kv/export` `{id}`, `/v1/kv/import` `{id, tokens}`
-/// - `GET /v1/load` (lags), `GET /v1/events?after=` (late, gaps)
+/// - `GET /v1/load` (lags behind), `GET /v1/events?after=` (delayed, with gaps
+///   if that fault is on)
 /// - `POST /v1/orders` `{order, value, fencing}`, `GET /v1/state`
 ///
-/// A stream whose reader went away goes on and holds its memory, so that it
-/// can be resumed; only its end or a cancel frees it.
+/// A stream whose connection was closed continues and keeps its memory, so that
+/// it can be resumed. Only its end or a cancellation frees the memory.
 
 #include "Face.h"
 
@@ -27,19 +29,20 @@
 constexpr duration kLoadLag = std::chrono::milliseconds(500);
 constexpr duration kEventLag = std::chrono::milliseconds(300);
 constexpr duration kFinishedStreamRetention = std::chrono::seconds(30);
-/// A step later than this is taken as begun anew: the process was paused.
+/// The maximum delay of a step that is made up for. After a longer one (the
+/// process was paused) the step counts as due now.
 constexpr duration kMaxCatchUp = std::chrono::seconds(1);
 
 struct stream_state
 {
   std::uint64_t mPromptHash = 0;
-  tokens mWritten = 0;
-  bool mDone = false;
-  time_point mDoneAt;
-  exchange mReader;
-  tokens mSent = 0;
+  tokens mDecodedTokens = 0;
+  bool mFinished = false;
+  time_point mFinishedAt;
+  exchange mExchange;
+  tokens mSentTokens = 0;
   bool mCutHalfway = false;
-  tokens mOutput = 0;
+  tokens mOutputTokens = 0;
   std::vector<std::uint64_t> mMarks;
 };
 
@@ -56,7 +59,7 @@
   std::int64_t mFencing = 0;
 };
 
-class engine_emulator final : public face
+class engine_emulator final : public emulator
 {
 public:
   engine_emulator(const clock_source& aClock, const model_settings& aModel)
@@ -73,18 +76,18 @@
   {
     using handler = result<void> (engine_emulator::*)(const exchange&);
     static const std::map<std::string, handler> kHandlers = {
-      { "POST /v1/completions", &engine_emulator::Complete },
-      { "GET /v1/streams/resume", &engine_emulator::Resume },
+      { "POST /v1/completions", &engine_emulator::StartCompletion },
+      { "GET /v1/streams/resume", &engine_emulator::ResumeStream },
       { "POST /v1/streams/cancel", &engine_emulator::CancelStream },
       { "GET /v1/streams", &engine_emulator::ListStreams },
-      { "POST /v1/kv/hold", &engine_emulator::Hold },
-      { "POST /v1/kv/import", &engine_emulator::Hold },
+      { "POST /v1/kv/hold", &engine_emulator::ReserveMemory },
+      { "POST /v1/kv/import", &engine_emulator::ReserveMemory },
       { "POST /v1/kv/release", &engine_emulator::CancelStream },
-      { "POST /v1/kv/export", &engine_emulator::Export },
-      { "GET /v1/load", &engine_emulator::Load },
-      { "GET /v1/events", &engine_emulator::Events },
-      { "POST /v1/orders", &engine_emulator::Order },
-      { "GET /v1/state", &engine_emulator::State },
+      { "POST /v1/kv/export", &engine_emulator::ExportMemory },
+      { "GET /v1/load", &engine_emulator::ReportLoad },
+      { "GET /v1/events", &engine_emulator::ListCacheEvents },
+      { "POST /v1/orders", &engine_emulator::ApplyOrder },
+      { "GET /v1/state", &engine_emulator::ReportState },
     };
     const auto found =
       kHandlers.find(aExchange->Method() + " " + aExchange->Path());
@@ -95,7 +98,8 @@
                                  std::nullopt });
       return;
     }
-    Guarded(aExchange, [&]() { return (this->*found->second)(aExchange); });
+    AnswerIfFailed(aExchange,
+                   [&]() { return (this->*found->second)(aExchange); });
   }
 
   void FaultsChanged() override
@@ -105,15 +109,15 @@
   }
 
 private:
-  static constexpr std::int64_t kMostTokens = 100000000;
+  static constexpr std::int64_t kMaxTokens = 100000000;
 
-  result<void> Complete(const exchange& aExchange)
+  result<void> StartCompletion(const exchange& aExchange)
   {
     BOOST_LEAF_ASSIGN(json const body, ParseObject(aExchange->Body()));
     BOOST_LEAF_ASSIGN(std::string const id, RequiredText(body, "id"));
     BOOST_LEAF_ASSIGN(std::string const prompt, RequiredText(body, "prompt"));
     BOOST_LEAF_ASSIGN(std::int64_t const output,
-                      OptionalInteger(body, "max_tokens", 16, 1, kMostTokens));
+                      OptionalInteger(body, "max_tokens", 16, 1, kMaxTokens));
     BOOST_LEAF_ASSIGN(std::int64_t const priority,
                       OptionalInteger(body, "priority", 1, 0, 1000));
     const std::size_t members =
@@ -134,9 +138,9 @@
     }
     stream_state stream;
     stream.mPromptHash = Hash(prompt);
-    stream.mOutput = job.mOutputTokens;
+    stream.mOutputTokens = job.mOutputTokens;
     stream.mMarks = job.mMarks;
-    stream.mReader = aExchange;
+    stream.mExchange = aExchange;
     if (mFaults.mCutStreams > 0) {
       --mFaults.mCutStreams;
       stream.mCutHalfway = true;
@@ -148,27 +152,29 @@
     return {};
   }
 
+  /// Detaches the stream from its exchange when the caller closes the
+  /// connection.
   void DetachOnHangup(const std::string& aId, const exchange& aExchange)
   {
     aExchange->OnHangup([this, aId]() {
       const auto stream = mStreams.find(aId);
       if (stream != mStreams.end()) {
-        mGone.push_back(std::move(stream->second.mReader));
-        stream->second.mReader = nullptr;
+        mClosedExchanges.push_back(std::move(stream->second.mExchange));
+        stream->second.mExchange = nullptr;
       }
     });
   }
 
-  result<void> Resume(const exchange& aExchange)
+  result<void> ResumeStream(const exchange& aExchange)
   {
     const std::string id = QueryValue(aExchange, "id");
     const auto stream = mStreams.find(id);
     if (stream == mStreams.end()) {
       return Fail(error_kind::NotFound, "no such stream");
     }
-    stream->second.mSent = static_cast<tokens>(
+    stream->second.mSentTokens = static_cast<tokens>(
       ParseNumber(QueryValue(aExchange, "from")).value_or(0));
-    stream->second.mReader = aExchange;
+    stream->second.mExchange = aExchange;
     aExchange->StartStream(200, "text/event-stream");
     DetachOnHangup(id, aExchange);
     SendPendingTokens(stream->second);
@@ -179,12 +185,12 @@
   {
     BOOST_LEAF_ASSIGN(json const body, ParseObject(aExchange->Body()));
     BOOST_LEAF_ASSIGN(std::string const id, RequiredText(body, "id"));
-    const bool had = Cancel(mEngine, id);
+    const bool existed = Cancel(mEngine, id);
     const auto stream = mStreams.find(id);
     if (stream != mStreams.end()) {
       mStreams.erase(stream);
     }
-    AnswerJson(aExchange, { { "cancelled", had } });
+    AnswerJson(aExchange, { { "cancelled", existed } });
     return {};
   }
 
@@ -203,12 +209,12 @@
     return {};
   }
 
-  result<void> Hold(const exchange& aExchange)
+  result<void> ReserveMemory(const exchange& aExchange)
   {
     BOOST_LEAF_ASSIGN(json const body, ParseObject(aExchange->Body()));
     BOOST_LEAF_ASSIGN(std::string const id, RequiredText(body, "id"));
     BOOST_LEAF_ASSIGN(std::int64_t const amount,
-                      OptionalInteger(body, "tokens", 1, 1, kMostTokens));
+                      OptionalInteger(body, "tokens", 1, 1, kMaxTokens));
     engine_job job;
     job.mId = id;
     job.mReserveTokens = static_cast<tokens>(amount);
@@ -220,8 +226,9 @@
     return {};
   }
 
-  /// Keeps a stream's KV as an export under `export.ID` until it is released.
-  result<void> Export(const exchange& aExchange)
+  /// Reserves memory for a copy of a stream's KV cache, under the id
+  /// `export.ID`, until it is released.
+  result<void> ExportMemory(const exchange& aExchange)
   {
     BOOST_LEAF_ASSIGN(json const body, ParseObject(aExchange->Body()));
     BOOST_LEAF_ASSIGN(std::string const id, RequiredText(body, "id"));
@@ -229,28 +236,29 @@
     if (job == mEngine.mJobs.end()) {
       return Fail(error_kind::NotFound, "no such stream");
     }
-    engine_job kept;
-    kept.mId = "export." + id;
-    kept.mReserveTokens = job->second.mJob.mReserveTokens;
-    kept.mHoldOnly = true;
-    if (!Submit(mEngine, kept, mClock.Now())) {
+    engine_job exported;
+    exported.mId = "export." + id;
+    exported.mReserveTokens = job->second.mJob.mReserveTokens;
+    exported.mHoldOnly = true;
+    if (!Submit(mEngine, exported, mClock.Now())) {
       return Fail(error_kind::Overloaded, "no memory for the export");
     }
-    AnswerJson(aExchange,
-               { { "id", kept.mId }, { "tokens", kept.mReserveTokens } });
+    AnswerJson(
+      aExchange,
+      { { "id", exported.mId }, { "tokens", exported.mReserveTokens } });
     return {};
   }
 
-  /// The load as it was half a second ago.
-  result<void> Load(const exchange& aExchange)
+  /// Answers with the load of half a second ago.
+  result<void> ReportLoad(const exchange& aExchange)
   {
     const time_point now = mClock.Now();
-    json shown = { { "running", mEngine.mJobs.size() },
-                   { "used_tokens", mEngine.mUsed },
-                   { "capacity_tokens", mEngine.mShape.mCapacity },
-                   { "unread_tokens", UnreadByEngine(mEngine) },
-                   { "steps", mEngine.mSteps } };
-    mLoads.push_back({ now, shown });
+    json load = { { "running", mEngine.mJobs.size() },
+                  { "used_tokens", mEngine.mUsed },
+                  { "capacity_tokens", mEngine.mShape.mCapacity },
+                  { "unread_tokens", UnreadByEngine(mEngine) },
+                  { "steps", mEngine.mSteps } };
+    mLoads.push_back({ now, load });
     while (mLoads.size() > 1 && now - mLoads[1].first >= kLoadLag) {
       mLoads.pop_front();
     }
@@ -258,7 +266,7 @@
     return {};
   }
 
-  result<void> Events(const exchange& aExchange)
+  result<void> ListCacheEvents(const exchange& aExchange)
   {
     const double after =
       ParseNumber(QueryValue(aExchange, "after")).value_or(0);
@@ -274,7 +282,7 @@
     return {};
   }
 
-  result<void> Order(const exchange& aExchange)
+  result<void> ApplyOrder(const exchange& aExchange)
   {
     BOOST_LEAF_ASSIGN(json const body, ParseObject(aExchange->Body()));
     BOOST_LEAF_ASSIGN(std::string const name, RequiredText(body, "order"));
@@ -290,7 +298,7 @@
     return {};
   }
 
-  result<void> State(const exchange& aExchange)
+  result<void> ReportState(const exchange& aExchange)
   {
     json orders = json::object();
     for (const auto& [name, state] : mOrders) {
@@ -338,71 +346,73 @@
     }
     while (mEngine.mStepEnds && *mEngine.mStepEnds <= now) {
       for (const engine_output& output : Advance(mEngine, now)) {
-        TakeOutput(output, now);
+        HandleOutput(output, now);
       }
     }
     std::erase_if(mStreams, [&](const auto& aItem) {
-      return aItem.second.mDone &&
-             now - aItem.second.mDoneAt > kFinishedStreamRetention;
+      return aItem.second.mFinished &&
+             now - aItem.second.mFinishedAt > kFinishedStreamRetention;
     });
-    mGone.clear();
+    mClosedExchanges.clear();
   }
 
-  void TakeOutput(const engine_output& aOutput, time_point aNow)
+  void HandleOutput(const engine_output& aOutput, time_point aNow)
   {
     const auto found = mStreams.find(aOutput.mId);
     if (found == mStreams.end()) {
       return;
     }
     stream_state& stream = found->second;
-    stream.mWritten = aOutput.mIndex + 1;
+    stream.mDecodedTokens = aOutput.mIndex + 1;
     if (aOutput.mLast) {
-      stream.mDone = true;
-      stream.mDoneAt = aNow;
+      stream.mFinished = true;
+      stream.mFinishedAt = aNow;
     }
     if (aOutput.mIndex == 0) {
-      Publish(stream.mMarks, aNow);
+      PublishCacheEvent(stream.mMarks, aNow);
     }
     SendPendingTokens(stream);
   }
 
-  void Publish(const std::vector<std::uint64_t>& aMarks, time_point aNow)
+  void PublishCacheEvent(const std::vector<std::uint64_t>& aMarks,
+                         time_point aNow)
   {
     ++mEventNumber;
     constexpr std::uint64_t kGapEvery = 3;
     if (mFaults.mGapEvents && mEventNumber % kGapEvery == 0) {
       return;
     }
-    constexpr std::size_t kMostEvents = 256;
+    constexpr std::size_t kMaxEvents = 256;
     mEvents.push_back({ mEventNumber, aNow + kEventLag, aMarks });
-    if (mEvents.size() > kMostEvents) {
+    if (mEvents.size() > kMaxEvents) {
       mEvents.pop_front();
     }
   }
 
   void SendPendingTokens(stream_state& aStream)
   {
-    if (aStream.mReader == nullptr) {
+    if (aStream.mExchange == nullptr) {
       return;
     }
-    while (aStream.mSent < aStream.mWritten) {
+    while (aStream.mSentTokens < aStream.mDecodedTokens) {
       const json event = {
-        { "index", aStream.mSent },
-        { "text", AnswerToken(aStream.mPromptHash, aStream.mSent) }
+        { "index", aStream.mSentTokens },
+        { "text", AnswerToken(aStream.mPromptHash, aStream.mSentTokens) }
       };
-      aStream.mReader->Send(FormatEvent(event.dump()));
-      ++aStream.mSent;
-      if (aStream.mCutHalfway && aStream.mSent >= (aStream.mOutput + 1) / 2) {
+      aStream.mExchange->Send(FormatEvent(event.dump()));
+      ++aStream.mSentTokens;
+      if (aStream.mCutHalfway &&
+          aStream.mSentTokens >= (aStream.mOutputTokens + 1) / 2) {
         aStream.mCutHalfway = false;
-        aStream.mReader->EndStream();
-        aStream.mReader = nullptr;
+        aStream.mExchange->EndStream();
+        aStream.mExchange = nullptr;
         return;
       }
     }
-    if (aStream.mDone) {
-      aStream.mReader->Send(FormatEvent("[DONE]"));
-      aStream.mReader->EndStream();
-      aStream.mReader = nullptr;
+    if (aStream.mFinished) {
+      aStream.mExchange->Send(FormatEvent("[DONE]"));
+      aStream.mExchange->EndStream();
+      aStream.mExchange = nullptr;
     }
   }
 
@@ -410,7 +420,7 @@
   std::string mModel;
   engine_model mEngine;
   std::map<std::string, stream_state> mStreams;
-  std::vector<exchange> mGone;
+  std::vector<exchange> mClosedExchanges;
   std::deque<std::pair<time_point, json>> mLoads;
   std::deque<cache_event> mEvents;
   std::map<std::string, order_state> mOrders;
@@ -420,7 +430,7 @@
 
 } // namespace
 
-std::unique_ptr<face>
+std::unique_ptr<emulator>
 MakeEngineEmulator(const clock_source& aClock, const model_settings& aModel)
 {
   return std::make_unique<engine_emulator>(aClock, aModel);
--- a/Utilities/StandIn/Face.cpp
+++ b/Utilities/StandIn/Face.cpp
@@ -5,7 +5,7 @@
 namespace primrose::standin {
 
 bool
-face::TakeLostAnswer()
+emulator::TakeLostAnswer()
 {
   if (mFaults.mLoseAnswers == 0) {
     return false;
@@ -21,7 +21,8 @@
 }
 
 void
-Guarded(const exchange& aExchange, const std::function<result<void>()>& aBody)
+AnswerIfFailed(const exchange& aExchange,
+               const std::function<result<void>()>& aBody)
 {
   leaf::try_handle_all(
     aBody,
--- a/Utilities/StandIn/Faults.cpp
+++ b/Utilities/StandIn/Faults.cpp
@@ -4,36 +4,40 @@
 
 namespace {
 
-constexpr std::int64_t kMany = 1000000;
+constexpr std::int64_t kMaxValue = 1000000;
 
 } // namespace
 
 result<faults>
-ReadFaults(const faults& aOld, const std::string& aBody)
+ReadFaults(const faults& aCurrent, const std::string& aBody)
 {
   BOOST_LEAF_ASSIGN(json const body, ParseObject(aBody));
-  faults read = aOld;
-  BOOST_LEAF_ASSIGN(read.mDown, OptionalFlag(body, "down", aOld.mDown));
-  BOOST_LEAF_ASSIGN(read.mSilent, OptionalFlag(body, "silent", aOld.mSilent));
-  BOOST_LEAF_ASSIGN(read.mSlowMs,
-                    OptionalInteger(body, "slow_ms", aOld.mSlowMs, 0, kMany));
-  BOOST_LEAF_ASSIGN(read.mRefuse,
-                    OptionalInteger(body, "refuse", aOld.mRefuse, 0, kMany));
+  faults changed = aCurrent;
+  BOOST_LEAF_ASSIGN(changed.mDown, OptionalFlag(body, "down", aCurrent.mDown));
+  BOOST_LEAF_ASSIGN(changed.mSilent,
+                    OptionalFlag(body, "silent", aCurrent.mSilent));
   BOOST_LEAF_ASSIGN(
-    read.mLoseAnswers,
-    OptionalInteger(body, "lose_answers", aOld.mLoseAnswers, 0, kMany));
+    changed.mSlowMs,
+    OptionalInteger(body, "slow_ms", aCurrent.mSlowMs, 0, kMaxValue));
   BOOST_LEAF_ASSIGN(
-    read.mStepPercent,
-    OptionalInteger(body, "step_percent", aOld.mStepPercent, 1, kMany));
+    changed.mRefuse,
+    OptionalInteger(body, "refuse", aCurrent.mRefuse, 0, kMaxValue));
   BOOST_LEAF_ASSIGN(
-    read.mCutStreams,
-    OptionalInteger(body, "cut_streams", aOld.mCutStreams, 0, kMany));
-  BOOST_LEAF_ASSIGN(read.mGapEvents,
-                    OptionalFlag(body, "gap_events", aOld.mGapEvents));
-  BOOST_LEAF_ASSIGN(read.mIgnoreFencing,
-                    OptionalFlag(body, "ignore_fencing", aOld.mIgnoreFencing));
-  BOOST_LEAF_ASSIGN(read.mDie, OptionalFlag(body, "die", aOld.mDie));
-  return read;
+    changed.mLoseAnswers,
+    OptionalInteger(body, "lose_answers", aCurrent.mLoseAnswers, 0, kMaxValue));
+  BOOST_LEAF_ASSIGN(
+    changed.mStepPercent,
+    OptionalInteger(body, "step_percent", aCurrent.mStepPercent, 1, kMaxValue));
+  BOOST_LEAF_ASSIGN(
+    changed.mCutStreams,
+    OptionalInteger(body, "cut_streams", aCurrent.mCutStreams, 0, kMaxValue));
+  BOOST_LEAF_ASSIGN(changed.mGapEvents,
+                    OptionalFlag(body, "gap_events", aCurrent.mGapEvents));
+  BOOST_LEAF_ASSIGN(
+    changed.mIgnoreFencing,
+    OptionalFlag(body, "ignore_fencing", aCurrent.mIgnoreFencing));
+  BOOST_LEAF_ASSIGN(changed.mDie, OptionalFlag(body, "die", aCurrent.mDie));
+  return changed;
 }
 
 json
--- a/Utilities/StandIn/Faults.h
+++ b/Utilities/StandIn/Faults.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The faults that can be switched on in a stand-in with `POST /faults`; each
-/// request replaces only the members that it names.
+/// The faults that `POST /faults` can switch on in a stand-in. Each request
+/// changes only the members that it names.
 
 #include "LibHttp/LibHttp.h"
 
@@ -11,23 +11,24 @@
 
 struct faults
 {
-  bool mDown = false;       ///< Every request is answered 503.
-  bool mSilent = false;     ///< Requests are taken and never answered.
-  std::int64_t mSlowMs = 0; ///< Every answer is late by this.
-  std::int64_t mRefuse = 0; ///< So many next requests are answered 503.
-  /// So many next writes or executions take effect, and their answer is lost.
+  bool mDown = false;       ///< Answer every request with 503.
+  bool mSilent = false;     ///< Accept requests and never answer them.
+  std::int64_t mSlowMs = 0; ///< Delay of every answer.
+  std::int64_t mRefuse = 0; ///< Number of next requests to answer with 503.
+  /// Number of next writes or executions that take effect but are not answered.
   std::int64_t mLoseAnswers = 0;
-  std::int64_t mStepPercent = 100; ///< Engine: duration of a step.
-  std::int64_t mCutStreams = 0;    ///< Engine: cut so many streams half-way.
-  bool mGapEvents = false;         ///< Engine: every third cache event is lost.
-  bool mIgnoreFencing = false;     ///< Engine: old fencing numbers are taken.
-  bool mDie = false;               ///< The process ends at once, with 1.
+  std::int64_t mStepPercent = 100; ///< Engine: duration of a step, in %.
+  std::int64_t mCutStreams = 0; ///< Engine: number of streams to cut half-way.
+  bool mGapEvents = false;      ///< Engine: lose every third cache event.
+  bool mIgnoreFencing = false;  ///< Engine: accept outdated fencing numbers.
+  bool mDie = false;            ///< Exit at once with status 1.
 
   bool operator==(const faults&) const = default;
 };
 
+/// Returns the current faults with the members that the body names replaced.
 result<faults>
-ReadFaults(const faults& aOld, const std::string& aBody);
+ReadFaults(const faults& aCurrent, const std::string& aBody);
 json
 ToJson(const faults& aFaults);
 
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -1,5 +1,5 @@
-/// primrose-standin: stands in for the outside systems in tests and in the
-/// first run: a model engine, a plain service, or the platform.
+/// primrose-standin: emulates an external system (a model engine, a plain
+/// service or the platform) in tests and in the first run.
 
 #include "Face.h"
 
@@ -14,30 +14,32 @@
 
 namespace {
 
-constexpr std::size_t kLargestBody = std::size_t{ 64 } * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{ 64 } * 1024 * 1024;
 constexpr std::int64_t kDefaultListLagMs = 2000;
 
-class stand_in
+/// Passes requests to the emulator, except those that a switched-on fault
+/// intercepts.
+class faulty_server
 {
 public:
-  explicit stand_in(std::unique_ptr<face> aFace)
-    : mFace(std::move(aFace))
+  explicit faulty_server(std::unique_ptr<emulator> aEmulator)
+    : mEmulator(std::move(aEmulator))
   {
   }
 
   void Handle(exchange aExchange)
   {
     if (aExchange->Path() == "/faults") {
-      Guarded(aExchange, [&]() { return SetFaults(aExchange); });
+      AnswerIfFailed(aExchange, [&]() { return SetFaults(aExchange); });
       return;
     }
-    const faults& active = mFace->mFaults;
+    const faults& active = mEmulator->mFaults;
     if (active.mSilent) {
       mHeldOpenExchanges.push_back(std::move(aExchange));
       return;
     }
     if (active.mDown || active.mRefuse > 0) {
-      mFace->mFaults.mRefuse -= active.mDown ? 0 : 1;
+      mEmulator->mFaults.mRefuse -= active.mDown ? 0 : 1;
       aExchange->AnswerFailure({ error_kind::Overloaded,
                                  "a fault is switched on",
                                  ran_state::No,
@@ -45,35 +47,36 @@
       return;
     }
     if (active.mSlowMs > 0) {
-      mTasks.add(Delay(std::chrono::milliseconds(active.mSlowMs))
-                   .then([this, aExchange]() { mFace->Handle(aExchange); }));
+      mTasks.add(
+        Delay(std::chrono::milliseconds(active.mSlowMs))
+          .then([this, aExchange]() { mEmulator->Handle(aExchange); }));
       return;
     }
-    mFace->Handle(aExchange);
+    mEmulator->Handle(aExchange);
   }
 
 private:
   result<void> SetFaults(const exchange& aExchange)
   {
     if (aExchange->Method() == "POST") {
-      BOOST_LEAF_ASSIGN(mFace->mFaults,
-                        ReadFaults(mFace->mFaults, aExchange->Body()));
-      mFace->FaultsChanged();
-      if (mFace->mFaults.mDie) {
+      BOOST_LEAF_ASSIGN(mEmulator->mFaults,
+                        ReadFaults(mEmulator->mFaults, aExchange->Body()));
+      mEmulator->FaultsChanged();
+      if (mEmulator->mFaults.mDie) {
         std::_Exit(kExitFailed);
       }
     }
-    AnswerJson(aExchange, ToJson(mFace->mFaults));
+    AnswerJson(aExchange, ToJson(mEmulator->mFaults));
     return {};
   }
 
-  std::unique_ptr<face> mFace;
+  std::unique_ptr<emulator> mEmulator;
   std::vector<exchange> mHeldOpenExchanges;
   task_failures mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
-result<std::unique_ptr<face>>
+result<std::unique_ptr<emulator>>
 MakeEmulator(const std::string& aKind,
              const node_settings& aSettings,
              duration aListLag,
@@ -110,7 +113,7 @@
     aOptions.mValues["list-lag-ms"].as<std::int64_t>());
   const system_clock_source clock;
   main_loop loop;
-  BOOST_LEAF_ASSIGN(std::unique_ptr<face> made,
+  BOOST_LEAF_ASSIGN(std::unique_ptr<emulator> emulated,
                     MakeEmulator(kind, settings, listLag, clock));
   BOOST_LEAF_ASSIGN(ip_address const address, ParseAddress(settings.mHttp));
   if (aOptions.mCheck) {
@@ -118,12 +121,12 @@
     return kExitGood;
   }
   StartLog(settings.mName, aOptions.mLogLevel);
-  stand_in standIn(std::move(made));
+  faulty_server faultyServer(std::move(emulated));
   BOOST_LEAF_ASSIGN(
     std::unique_ptr<http_server> server,
     http_server::Open(
-      address.mHost, address.mPort, kLargestBody, [&](exchange aExchange) {
-        standIn.Handle(std::move(aExchange));
+      address.mHost, address.mPort, kMaxBodyBytes, [&](exchange aExchange) {
+        faultyServer.Handle(std::move(aExchange));
       }));
   const std::string bound = ip_address{ address.mHost, server->Port() }.Text();
   BOOST_LEAF_CHECK(WriteAddressFile(settings.mAddressFile,
--- a/Utilities/StandIn/PlatformFace.cpp
+++ b/Utilities/StandIn/PlatformFace.cpp
@@ -1,5 +1,6 @@
-/// The platform: a transactional table service, an object store and the list
-/// of VMs, which lags. Everything is kept in memory for the stand-in's life.
+/// Emulates the platform: a transactional table service, an object store and
+/// the list of VMs, in which changes become visible after a delay. All data is
+/// kept in memory until the process ends.
 
 #include "Face.h"
 
@@ -20,7 +21,7 @@
   std::optional<json> mRow;
 };
 
-class platform_emulator final : public face
+class platform_emulator final : public emulator
 {
 public:
   platform_emulator(const clock_source& aClock, duration aListLag)
@@ -34,15 +35,15 @@
     const std::string& path = aExchange->Path();
     const std::string method = aExchange->Method();
     if (path == "/tables/transact" && method == "POST") {
-      Guarded(aExchange, [&]() { return Transact(aExchange); });
+      AnswerIfFailed(aExchange, [&]() { return Transact(aExchange); });
     } else if (path == "/tables/read" && method == "POST") {
-      Guarded(aExchange, [&]() { return Read(aExchange); });
+      AnswerIfFailed(aExchange, [&]() { return Read(aExchange); });
     } else if (path.starts_with("/objects/")) {
       HandleObject(aExchange, path);
     } else if (path == "/vms" && method == "GET") {
       ListVms(aExchange);
     } else if (path.starts_with("/vms/")) {
-      Guarded(aExchange, [&]() { return ChangeVm(aExchange); });
+      AnswerIfFailed(aExchange, [&]() { return ChangeVm(aExchange); });
     } else if (path == "/counters") {
       AnswerJson(aExchange, { { "reads", mReads }, { "writes", mWrites } });
     } else {
@@ -52,17 +53,20 @@
   }
 
 private:
+  /// Checks the condition of a put, "if": the row must be absent or must have
+  /// the given members.
   bool ConditionHolds(const json& aPut) const
   {
     const auto condition = aPut.find("if");
     if (condition == aPut.end()) {
       return true;
     }
-    const auto named = mTables.find(aPut.at("table").get<std::string>());
+    const auto foundTable = mTables.find(aPut.at("table").get<std::string>());
     const json* row = nullptr;
-    if (named != mTables.end()) {
-      const auto found = named->second.find(aPut.at("key").get<std::string>());
-      row = found == named->second.end() ? nullptr : &found->second;
+    if (foundTable != mTables.end()) {
+      const auto found =
+        foundTable->second.find(aPut.at("key").get<std::string>());
+      row = found == foundTable->second.end() ? nullptr : &found->second;
     }
     if (*condition == "absent") {
       return row == nullptr;
@@ -84,11 +88,11 @@
       return Fail(error_kind::MissingField, "\"puts\" must be a list");
     }
     for (const json& put : aBody["puts"]) {
-      const bool good = put.is_object() && put.contains("table") &&
-                        put["table"].is_string() && put.contains("key") &&
-                        put["key"].is_string() && put.contains("value") &&
-                        put["value"].is_object();
-      if (!good) {
+      const bool valid = put.is_object() && put.contains("table") &&
+                         put["table"].is_string() && put.contains("key") &&
+                         put["key"].is_string() && put.contains("value") &&
+                         put["value"].is_object();
+      if (!valid) {
         return Fail(error_kind::WrongType,
                     "a put needs table, key and an object as value");
       }
@@ -135,11 +139,11 @@
     }
     ++mReads;
     json rows = json::object();
-    const table& known = mTables[name];
+    const table& storedRows = mTables[name];
     for (const json& key : body["keys"]) {
-      const auto row =
-        key.is_string() ? known.find(key.get<std::string>()) : known.end();
-      if (row != known.end()) {
+      const auto row = key.is_string() ? storedRows.find(key.get<std::string>())
+                                       : storedRows.end();
+      if (row != storedRows.end()) {
         rows[row->first] = row->second;
       }
     }
@@ -163,7 +167,7 @@
     aExchange->Answer(200, "application/octet-stream", object->second);
   }
 
-  /// Moves the changes that have become visible into the list.
+  /// Applies the changes that have become visible and answers with the list.
   void ListVms(const exchange& aExchange)
   {
     ++mReads;
@@ -218,7 +222,7 @@
 
 } // namespace
 
-std::unique_ptr<face>
+std::unique_ptr<emulator>
 MakePlatformEmulator(const clock_source& aClock, duration aListLag)
 {
   return std::make_unique<platform_emulator>(aClock, aListLag);
--- a/Utilities/StandIn/ServiceFace.cpp
+++ b/Utilities/StandIn/ServiceFace.cpp
@@ -1,5 +1,6 @@
-/// A plain service beside the model engines. It counts what it executes, for
-/// each idempotency key, so that a test can tell whether something ran twice.
+/// Emulates a plain service, one that is not a model engine. It counts
+/// executions for each idempotency key, so that a test can detect a repeated
+/// execution.
 
 #include "Face.h"
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-class service_emulator final : public face
+class service_emulator final : public emulator
 {
 public:
   void Handle(const exchange& aExchange) override
@@ -38,7 +39,7 @@
 
 } // namespace
 
-std::unique_ptr<face>
+std::unique_ptr<emulator>
 MakeServiceEmulator()
 {
   return std::make_unique<service_emulator>();
