--- a/Tests/Unit/WorldTest.cpp
+++ b/Tests/Unit/SimulationTest.cpp
@@ -1,6 +1,6 @@
 /// Tests of the engine model and of the experiments' simulation.
 
-#include "World.h"
+#include "Simulation.h"
 #include "Experiment.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/Utilities/Bench/Experiment.h
+++ b/Utilities/Bench/Experiment.h
@@ -4,7 +4,7 @@
 /// each of its policies at each of its loads.
 
 #include "LibRules/LibRules.h"
-#include "World.h"
+#include "Simulation.h"
 
 #include <functional>
 #include <string>
--- a/Utilities/StandIn/EngineFace.cpp
+++ b/Utilities/StandIn/EngineEmulator.cpp
@@ -14,7 +14,7 @@
 /// A stream whose connection was closed continues and keeps its memory, so that
 /// it can be resumed. Only its end or a cancellation frees the memory.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include "LibModel/LibModel.h"
 #include "LibRules/LibRules.h"
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -1,7 +1,7 @@
 /// primrose-standin: emulates an external system (a model engine, a plain
 /// service or the platform) in tests and in the first run.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include "LibDaemon/LibDaemon.h"
 
--- a/Utilities/StandIn/PlatformFace.cpp
+++ b/Utilities/StandIn/PlatformEmulator.cpp
@@ -2,7 +2,7 @@
 /// the list of VMs, in which changes become visible after a delay. All data is
 /// kept in memory until the process ends.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include <deque>
 #include <map>
--- a/Utilities/StandIn/ServiceFace.cpp
+++ b/Utilities/StandIn/ServiceEmulator.cpp
@@ -2,7 +2,7 @@
 /// executions for each idempotency key, so that a test can detect a repeated
 /// execution.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include <map>
 
