--- a/Services/Agent/AgentService.cpp
+++ b/Services/Agent/AgentService.cpp
@@ -35,10 +35,11 @@
   , mDrained(std::move(aDrained))
 {
   const model_settings* const model = aTree.Model(aSettings.mServes);
-  mBoard = MakeAgentBoard(aSettings.mServes,
-                          model == nullptr ? engine_shape{} : ShapeOf(*model),
-                          LimitsOf(aTree.Resolve({})),
-                          aClock.Now());
+  mBoard =
+    MakeAgentState(aSettings.mServes,
+                   model == nullptr ? engine_shape{} : EngineShapeFor(*model),
+                   LimitsOf(aTree.Resolve({})),
+                   aClock.Now());
 }
 
 void
@@ -155,7 +156,7 @@
 }
 
 probe_answer
-agent_service::Probe(const work_shape& aShape)
+agent_service::Probe(const request_shape& aShape)
 {
   mMetrics.Count("primrose_probes_total");
   return primrose::Probe(mBoard, aShape, mClock.Now());
@@ -224,17 +225,17 @@
 void
 agent_service::EndExpired()
 {
-  for (const expired_work& item : Expire(mBoard, mClock.Now())) {
+  for (const expired_reservation& item : Expire(mBoard, mClock.Now())) {
     Log(log_level::Warning,
         "work_expired",
         { { "request", item.mRequest },
           { "attempt", item.mAttempt },
-          { "cause", ExpiryName(item.mCause) } });
-    mMetrics.Count(
-      Labelled("primrose_expired_total", "cause", ExpiryName(item.mCause)));
+          { "cause", ExpiryCauseName(item.mCause) } });
+    mMetrics.Count(Labelled(
+      "primrose_expired_total", "cause", ExpiryCauseName(item.mCause)));
     const auto waiting = mWaiting.find(item.mAttempt);
     if (waiting != mWaiting.end()) {
-      const refusal why = item.mCause == expiry_cause::WaitOver
+      const refusal why = item.mCause == expiry_cause::WaitExpired
                             ? refusal::NoRoom
                             : refusal::TooLate;
       waiting->second->fulfill(kj::cp(why));
@@ -244,7 +245,7 @@
     if (abort != mAborts.end()) {
       stream_end end;
       end.mRan = ran_state::Unknown;
-      end.mProblem = std::string(ExpiryName(item.mCause));
+      end.mProblem = std::string(ExpiryCauseName(item.mCause));
       abort->second->fulfill(kj::mv(end));
     }
     if (mGiven.erase(item.mAttempt) > 0) {
@@ -259,12 +260,12 @@
                           engine_request aRequest,
                           engine_link::chunk_handler aHandler)
 {
-  if (!StartReading(mBoard, aAttempt, mClock.Now())) {
+  if (!StartPrefill(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
     end.mProblem = "the reservation is gone";
     return end;
   }
-  const work_shape& shape = mBoard.mWork.at(aAttempt).mReservation.mShape;
+  const request_shape& shape = mBoard.mWork.at(aAttempt).mReservation.mShape;
   aRequest.mId = aAttempt;
   aRequest.mMaxTokens = shape.mMaxTokens;
   // Short prompts are read before long ones, whatever their class: a long
@@ -277,7 +278,7 @@
   const engine_link::chunk_handler noting =
     [this, aAttempt, aHandler](std::uint64_t aIndex, std::string aText) {
       if (aIndex == 0) {
-        NoteFirstToken(mBoard, aAttempt, mClock.Now());
+        RecordFirstToken(mBoard, aAttempt, mClock.Now());
         Pump();
       }
       return aHandler(aIndex, std::move(aText));
@@ -302,18 +303,19 @@
 kj::Promise<stream_end>
 agent_service::HoldGranted(const std::string& aAttempt)
 {
-  if (!StartReading(mBoard, aAttempt, mClock.Now())) {
+  if (!StartPrefill(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
     end.mProblem = "the reservation is gone";
     return end;
   }
-  const tokens need = mBoard.mWork.at(aAttempt).mReservation.mShape.Need();
+  const tokens need =
+    mBoard.mWork.at(aAttempt).mReservation.mShape.MemoryTokens();
   mGiven.insert(aAttempt);
   return mEngine.Hold(aAttempt, need).then([this, aAttempt](bool aHeld) {
     stream_end end;
     end.mComplete = aHeld;
     end.mProblem = aHeld ? "" : "the engine did not hold the memory";
-    NoteFirstToken(mBoard, aAttempt, mClock.Now());
+    RecordFirstToken(mBoard, aAttempt, mClock.Now());
     return end;
   });
 }
@@ -396,7 +398,7 @@
     work.push_back({ { "attempt", attempt },
                      { "stage", kStages[static_cast<int>(held.mStage)] },
                      { "organisation", held.mReservation.mShape.mOrganisation },
-                     { "tokens", held.mReservation.mShape.Need() } });
+                     { "tokens", held.mReservation.mShape.MemoryTokens() } });
   }
   return { { "name", mSettings.mName },
            { "role", "agent" },
@@ -407,7 +409,7 @@
            { "endpoint_up", !mSettings.mIsEngine || mBoard.mEngineUp },
            { "capacity_tokens", mBoard.mShape.mCapacity },
            { "used_tokens", mBoard.mUsed },
-           { "slowness", mBoard.mSlowness },
+           { "slowness", mBoard.mPrefillSlowdown },
            { "calls_in_flight", mCalls.InFlight() },
            { "work", work } };
 }
--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -30,7 +30,7 @@
 
   // For the RPC servers of this agent.
   kj::Promise<refusal> Reserve(const reservation& aReservation);
-  probe_answer Probe(const work_shape& aShape);
+  probe_answer Probe(const request_shape& aShape);
   kj::Promise<stream_end> RunGranted(const std::string& aAttempt,
                                      engine_request aRequest,
                                      engine_link::chunk_handler aHandler);
@@ -62,7 +62,7 @@
   engine_link mEngine;
   table_client mStore;
   guarded_calls mCalls;
-  agent_board mBoard;
+  agent_state mBoard;
   std::function<void()> mDrained;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<refusal>>> mWaiting;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<stream_end>>> mAborts;
--- a/Services/Agent/GuardedCalls.cpp
+++ b/Services/Agent/GuardedCalls.cpp
@@ -85,13 +85,13 @@
 kj::Promise<service_answer>
 guarded_calls::RunGuarded(service_call aCall)
 {
-  WantClaim(mBoard,
-            ClaimKey(aCall),
-            aCall.mAttempt,
-            RequestHash(aCall),
-            aCall.mDeadline - kAnswerMargin,
-            mClock.Now(),
-            mClock.Wall());
+  QueueClaim(mBoard,
+             ClaimKey(aCall),
+             aCall.mAttempt,
+             RequestHash(aCall),
+             aCall.mDeadline - kAnswerMargin,
+             mClock.Now(),
+             mClock.Wall());
   kj::Promise<void> settled =
     WaitForClaim(aCall.mAttempt, aCall.mDeadline - kAnswerMargin);
   PumpStore();
@@ -130,7 +130,7 @@
   }
   // The clock is looked at again here, after the last wait: a process that was
   // paused while it held the claim must not run what its caller gave up.
-  if (!BeginRun(mBoard, aCall.mAttempt, mClock.Now())) {
+  if (!BeginExecution(mBoard, aCall.mAttempt, mClock.Now())) {
     GiveUp(mBoard, aCall.mAttempt, mClock.Now());
     return NotRun(aCall);
   }
@@ -143,14 +143,14 @@
         row.mContentType = aAnswer.mContentType;
         row.mBody = aAnswer.mBody.size() <= kLargestKeptBody ? aAnswer.mBody
                                                              : std::string();
-        NoteRun(mBoard, attempt, std::move(row));
+        RecordExecution(mBoard, attempt, std::move(row));
         PumpStore();
       }
       return aAnswer;
     })
     .attach(kj::defer([this, attempt]() {
       // The row stays: a repeat learns that the outcome is not known.
-      ForgetClaim(mBoard, attempt);
+      DropClaim(mBoard, attempt);
     }));
 }
 
@@ -170,7 +170,7 @@
 {
   const claim_row row =
     FindClaim(mBoard, aCall.mAttempt)->mRow.value_or(claim_row{});
-  ForgetClaim(mBoard, aCall.mAttempt);
+  DropClaim(mBoard, aCall.mAttempt);
   if (row.mRequestHash != RequestHash(aCall)) {
     return FailedAnswer(error_kind::KeyReused,
                         "this Idempotency-Key came with another request",
@@ -192,7 +192,7 @@
     });
   }
   const bool over =
-    mClock.Wall().time_since_epoch().count() > row.mEndsMs + kClockSkewMs;
+    mClock.Wall().time_since_epoch().count() > row.mExpiresAtMs + kClockSkewMs;
   return FailedAnswer(
     over ? error_kind::OutcomeUnknown : error_kind::InProgress,
     over ? "the first call with this key may have run"
@@ -258,7 +258,7 @@
   WakeWaiters();
   WriteNow();
   ReadNow();
-  const std::optional<time_point> next = NextStoreWork(mBoard);
+  const std::optional<time_point> next = NextStoreRequestTime(mBoard);
   if (!next) {
     mTimer = nullptr;
     return;
@@ -282,7 +282,7 @@
   mMetrics.Count("primrose_store_rows_total",
                  static_cast<double>(writes.size()));
   mTasks.add(mStore.WriteClaims(writes).then([this](transaction_result aDone) {
-    NoteWritten(
+    RecordWriteOutcome(
       mBoard, aDone.mOutcome, aDone.mConflicts, mClock.Now(), mRandom);
     PumpStore();
   }));
@@ -298,7 +298,7 @@
   mMetrics.Count("primrose_store_reads_total");
   mTasks.add(mStore.ReadClaims(keys).then(
     [this](std::optional<std::map<std::string, claim_row>> aRows) {
-      NoteRead(mBoard, aRows, mClock.Now(), mRandom);
+      RecordReadBack(mBoard, aRows, mClock.Now(), mRandom);
       PumpStore();
     }));
 }
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -99,7 +99,7 @@
       return Send(endpoint, aAgent);
     })
     .catch_([this, endpoint](kj::Exception&& aException) {
-      NoteFailure(mBoard.mDirectory, endpoint, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, endpoint, mClock.Now(), mBoard.mRandom);
       return RetryOr({ error_kind::EndpointFailed,
                        aException.getDescription().cStr(),
                        mRan,
@@ -132,14 +132,14 @@
       -> kj::Promise<void> {
       const wire::CallAnswer::Reader answer = aResponse.getAnswer();
       if (answer.getRefusal() == wire::Refusal::NONE) {
-        NoteSuccess(mBoard.mDirectory, aEndpoint);
+        RecordSuccess(mBoard.mDirectory, aEndpoint);
         TakeAnswer(answer);
         return kj::READY_NOW;
       }
       // Refused before anything was sent to the endpoint.
       mRan = before;
       if (FromWire(answer.getRefusal()) == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, aEndpoint);
+        MarkLeaving(mBoard.mDirectory, aEndpoint);
       }
       return RetryOr({ error_kind::EndpointLeaving,
                        "the endpoint is leaving",
@@ -163,7 +163,7 @@
   }
   mBoard.mMetrics.Count("primrose_retries_total");
   const duration pause =
-    RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
+    RetryBackoff(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
   return Delay(pause).then([this]() { return Attempt(); });
 }
 
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -75,8 +75,8 @@
 completion_run::~completion_run()
 {
   --mBoard.mInFlight;
-  EndAdmission(mBoard.mOrganisations[mRequest.mShape.mOrganisation],
-               mRequest.mShape.Need());
+  ReleaseAdmittedTokens(mBoard.mOrganisations[mRequest.mShape.mOrganisation],
+                        mRequest.mShape.MemoryTokens());
 }
 
 duration
@@ -182,7 +182,7 @@
     return kj::READY_NOW;
   }
   const duration pause =
-    RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
+    RetryBackoff(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
   mBoard.mMetrics.Count("primrose_retries_total");
   Record(mBoard,
          mClock,
@@ -268,7 +268,7 @@
   if (!aProblem) {
     return WhenAllChunks(aChunks).then([this]() { Finish(); });
   }
-  NoteFailure(
+  RecordFailure(
     mBoard.mDirectory, mPlaces.front().mEndpoint, mClock.Now(), mBoard.mRandom);
   Log(log_level::Warning,
       "attempt_failed",
@@ -349,7 +349,7 @@
 void
 completion_run::NoteFirstChunk()
 {
-  NoteSuccess(mBoard.mDirectory, mPlaces.front().mEndpoint);
+  RecordSuccess(mBoard.mDirectory, mPlaces.front().mEndpoint);
   mBoard.mMetrics.Observe("primrose_first_token_seconds_" +
                             LengthClass(mRequest.mShape.mPromptTokens),
                           Seconds(mClock.Now() - mStarted));
--- a/Services/Entry/EntryBoard.h
+++ b/Services/Entry/EntryBoard.h
@@ -16,8 +16,8 @@
   node_settings mSettings;
   settings_tree mTree;
   endpoint_directory mDirectory;
-  std::map<std::string, placement_memory> mFronts; ///< By model.
-  std::map<std::string, organisation_use> mOrganisations;
+  std::map<std::string, placement_state> mFronts; ///< By model.
+  std::map<std::string, organisation_usage> mOrganisations;
   retry_budget mRetries;
   decision_log mDecisions;
   metrics mMetrics;
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -47,14 +47,14 @@
               const std::set<std::string>& aFailed)
 {
   std::shared_ptr<search> state = std::make_shared<search>();
-  const work_shape& shape = aRequest.mShape;
+  const request_shape& shape = aRequest.mShape;
   // The prompt itself is not needed here, and may be megabytes.
   state->mRequest.mHead = aRequest.mHead;
   state->mRequest.mShape = shape;
-  state->mRules = RulesOf(aRequest.mHead.mPolicy);
+  state->mRules = PlacementRulesFor(aRequest.mHead.mPolicy);
   const model_settings* const model = mBoard.mTree.Model(shape.mModel);
   if (model != nullptr) {
-    state->mEngine = ShapeOf(*model);
+    state->mEngine = EngineShapeFor(*model);
   }
   for (const endpoint_view* const view :
        Usable(mBoard.mDirectory, shape.mModel, mClock.Now())) {
@@ -77,12 +77,13 @@
       state->mRules.mProbes, kProbesPerMember * state->mGroup));
   }
   kj::Vector<kj::Promise<std::optional<candidate>>> probes;
-  for (const std::size_t index : ChooseToProbe(state->mNames,
-                                               shape,
-                                               state->mRules,
-                                               mBoard.mFronts[shape.mModel],
-                                               state->mGroup,
-                                               mBoard.mRandom)) {
+  for (const std::size_t index :
+       ChooseProbeTargets(state->mNames,
+                          shape,
+                          state->mRules,
+                          mBoard.mFronts[shape.mModel],
+                          state->mGroup,
+                          mBoard.mRandom)) {
     probes.add(ProbeOne(state, index));
   }
   return kj::joinPromises(probes.releaseAsArray())
@@ -99,7 +100,7 @@
   if (link == nullptr) {
     return std::optional<candidate>();
   }
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, hold_role::Lead);
   mBoard.mMetrics.Count("primrose_probes_sent_total");
   kj::Promise<std::optional<candidate>> answer =
@@ -116,9 +117,9 @@
     FromSeconds(aSearch->mRequest.mHead.mPolicy.mProbeTimeoutSeconds);
   return WithTimeout(kj::mv(answer), limit)
     .then([this, name](std::optional<candidate> aAnswer) {
-      NoteSuccess(mBoard.mDirectory, name);
+      RecordSuccess(mBoard.mDirectory, name);
       if (aAnswer->mAnswer.mRefusal == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, name);
+        MarkLeaving(mBoard.mDirectory, name);
       }
       return aAnswer;
     })
@@ -127,7 +128,7 @@
           "probe_failed",
           { { "endpoint", name },
             { "why", aException.getDescription().cStr() } });
-      NoteFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
       mBoard.mMetrics.Count("primrose_probes_lost_total");
       return std::optional<candidate>();
     })
@@ -149,21 +150,22 @@
       state.mRefusals[state.mNames[answer->mIndex]] = answer->mAnswer.mRefusal;
     }
   }
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(state.mRequest.mShape, state.mGroup, hold_role::Lead);
-  LearnFront(mBoard.mFronts[shape.mModel],
-             state.mCandidates,
-             shape,
-             state.mRules,
-             state.mEngine,
-             state.mGroup,
-             state.mNames.size());
-  state.mRanked = RankCandidates(
-    state.mCandidates,
-    shape,
-    state.mRules,
-    state.mEngine,
-    PacksLong(state.mRules, mBoard.mFronts[shape.mModel], state.mNames.size()));
+  UpdateLongPoolSize(mBoard.mFronts[shape.mModel],
+                     state.mCandidates,
+                     shape,
+                     state.mRules,
+                     state.mEngine,
+                     state.mGroup,
+                     state.mNames.size());
+  state.mRanked = RankCandidates(state.mCandidates,
+                                 shape,
+                                 state.mRules,
+                                 state.mEngine,
+                                 PacksLongPrompts(state.mRules,
+                                                  mBoard.mFronts[shape.mModel],
+                                                  state.mNames.size()));
   RecordSearch(state);
   if (state.mRanked.size() < state.mGroup) {
     return GiveReason(state);
@@ -198,8 +200,8 @@
         usable ? scored->mScore : 0,
         usable ? fmt::format("first token {:.3f} s, {} running, {} cached",
                              one.mAnswer.mFirstTokenSeconds,
-                             one.mAnswer.mRunning,
-                             one.mAnswer.mCached)
+                             one.mAnswer.mRunningSequences,
+                             one.mAnswer.mCachedTokens)
                : std::string(RefusalName(one.mAnswer.mRefusal)) });
   }
   Record(mBoard,
@@ -252,7 +254,7 @@
     return kj::READY_NOW;
   }
   const request_head head = aSearch->mRequest.mHead;
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, aRole);
   const std::string attempt = mIds.Next();
   return link->Get()
@@ -286,11 +288,11 @@
       }
       aSearch->mRefusals[name] = answer;
       if (answer == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, name);
+        MarkLeaving(mBoard.mDirectory, name);
       }
     })
     .catch_([this, aSearch, name](kj::Exception&&) {
-      NoteFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
       ++aSearch->mSilent;
     });
 }
--- a/Tests/Unit/SimulationTest.cpp
+++ b/Tests/Unit/SimulationTest.cpp
@@ -27,7 +27,7 @@
 {
   bench_policy policy;
   policy.mName = "primrose";
-  policy.mRules.mFrontSlack = 0.25;
+  policy.mRules.mLongPoolSlack = 0.25;
   return policy;
 }
 
--- a/Utilities/Bench/Costs.cpp
+++ b/Utilities/Bench/Costs.cpp
@@ -25,15 +25,15 @@
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-work_shape
+request_shape
 MakeShape(tokens aPrompt)
 {
-  work_shape shape;
+  request_shape shape;
   shape.mModel = "model";
   shape.mOrganisation = "organisation";
   shape.mPromptTokens = aPrompt;
   shape.mMaxTokens = 200;
-  shape.mMarks = { 1, 2, 3 };
+  shape.mPrefixHashes = { 1, 2, 3 };
   return shape;
 }
 
@@ -50,15 +50,15 @@
   return wanted;
 }
 
-agent_board
+agent_state
 AgentWithReservations(int aReservations)
 {
   engine_shape shape;
   shape.mCapacity = 100000000;
   shape.mLargestBatch = 100000;
   agent_limits limits;
-  limits.mLongestQueue = 100000;
-  agent_board agent = MakeAgentBoard("model", shape, limits, time_point{});
+  limits.mMaxQueueLength = 100000;
+  agent_state agent = MakeAgentState("model", shape, limits, time_point{});
   for (int i = 0; i < aReservations; ++i) {
     Reserve(agent, MakeReservation(i), kStart);
   }
@@ -107,8 +107,8 @@
 void
 ProbeAgainstWork(benchmark::State& aState)
 {
-  agent_board agent = AgentWithReservations(static_cast<int>(aState.range(0)));
-  const work_shape shape = MakeShape(3000);
+  agent_state agent = AgentWithReservations(static_cast<int>(aState.range(0)));
+  const request_shape shape = MakeShape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(Probe(agent, shape, kStart));
   }
@@ -121,7 +121,7 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    agent_board agent =
+    agent_state agent =
       AgentWithReservations(static_cast<int>(aState.range(0)));
     aState.ResumeTiming();
     benchmark::DoNotOptimize(Dispatch(agent, kStart));
@@ -140,7 +140,7 @@
   double bytes = 0;
   for (auto _ : aState) {
     const double before = HeapBytes();
-    const agent_board agent = AgentWithReservations(count);
+    const agent_state agent = AgentWithReservations(count);
     bytes = HeapBytes() - before;
     benchmark::DoNotOptimize(&agent);
   }
@@ -188,12 +188,12 @@
     names.push_back(one.mName);
   }
   random_engine random(1);
-  const work_shape shape = MakeShape(3000);
-  const placement_memory memory;
+  const request_shape shape = MakeShape(3000);
+  const placement_state memory;
   const placement_rules rules;
   for (auto _ : aState) {
     benchmark::DoNotOptimize(
-      ChooseToProbe(names, shape, rules, memory, 1, random));
+      ChooseProbeTargets(names, shape, rules, memory, 1, random));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -214,7 +214,7 @@
     one.mAnswer.mFirstTokenSeconds = static_cast<double>(i * 7919 % 100);
     candidates.push_back(one);
   }
-  const work_shape shape = MakeShape(3000);
+  const request_shape shape = MakeShape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(RankCandidates(
       candidates, shape, placement_rules{}, engine_shape{}, false));
@@ -265,7 +265,7 @@
 void
 AdmitAgainstOrganisations(benchmark::State& aState)
 {
-  std::map<std::string, organisation_use> uses;
+  std::map<std::string, organisation_usage> uses;
   const double before = HeapBytes();
   for (std::int64_t i = 0; i < aState.range(0); ++i) {
     uses[fmt::format("organisation-{:04}", i)] = {};
@@ -274,9 +274,9 @@
     (HeapBytes() - before) / static_cast<double>(aState.range(0));
   const organisation_limits limits{ 1e9, 1e12, 0.01 };
   for (auto _ : aState) {
-    organisation_use& use = uses["organisation-0003"];
+    organisation_usage& use = uses["organisation-0003"];
     benchmark::DoNotOptimize(Admit(use, limits, 100, kStart));
-    EndAdmission(use, 100);
+    ReleaseAdmittedTokens(use, 100);
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -291,7 +291,7 @@
 {
   const std::string prompt(static_cast<std::size_t>(aState.range(0)) * 4, 'a');
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(PromptMarks(prompt));
+    benchmark::DoNotOptimize(PrefixHashes(prompt));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -332,15 +332,15 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    claim_board claims;
+    claim_registry claims;
     for (std::int64_t i = 0; i < aState.range(0); ++i) {
-      WantClaim(claims,
-                fmt::format("key-{}", i),
-                fmt::format("attempt-{}", i),
-                1,
-                kStart + std::chrono::hours(1),
-                kStart,
-                wall_time{});
+      QueueClaim(claims,
+                 fmt::format("key-{}", i),
+                 fmt::format("attempt-{}", i),
+                 1,
+                 kStart + std::chrono::hours(1),
+                 kStart,
+                 wall_time{});
     }
     aState.ResumeTiming();
     benchmark::DoNotOptimize(TakeWrites(claims, kStart));
--- a/Utilities/Bench/Experiment.cpp
+++ b/Utilities/Bench/Experiment.cpp
@@ -24,13 +24,13 @@
   baseline.mName = aName;
   baseline.mPlacement = aKind;
   baseline.mEnginePriorities = false;
-  baseline.mRules.mLongPart = kUnbounded;
+  baseline.mRules.mMaxLongPartTokens = kUnbounded;
   baseline.mLimits.mLongTokensAtOnce = kUnbounded;
-  baseline.mLimits.mLongestQueue = 1000000;
-  baseline.mLimits.mReadAheadSeconds = 1e9;
+  baseline.mLimits.mMaxQueueLength = 1000000;
+  baseline.mLimits.mEngineQueueSeconds = 1e9;
   baseline.mLimits.mLongMemoryPart = 1;
-  baseline.mLimits.mFairShares = false;
-  baseline.mLimits.mPriorities = false;
+  baseline.mLimits.mUseFairShares = false;
+  baseline.mLimits.mUsePriorities = false;
   return baseline;
 }
 
@@ -52,12 +52,12 @@
     // The best baseline plus primrose's splitting of long prompts, to measure
     // the effect of the splitting separately.
     bench_policy withParts = Baseline(aName, placement_kind::ShortestQueue);
-    withParts.mRules = RulesOf(aValues);
+    withParts.mRules = PlacementRulesFor(aValues);
     return withParts;
   }
   bench_policy primrosePolicy;
   primrosePolicy.mName = aName;
-  primrosePolicy.mRules = RulesOf(aValues);
+  primrosePolicy.mRules = PlacementRulesFor(aValues);
   primrosePolicy.mLimits = LimitsOf(aValues);
   primrosePolicy.mAttempts = static_cast<unsigned>(aValues.mAttempts);
   primrosePolicy.mLongAttempts = static_cast<unsigned>(aValues.mLongAttempts);
@@ -66,7 +66,7 @@
     return primrosePolicy;
   }
   if (aName == "primrose-no-packing") {
-    primrosePolicy.mRules.mFrontSlack = 0;
+    primrosePolicy.mRules.mLongPoolSlack = 0;
     return primrosePolicy;
   }
   if (aName == "primrose-no-priorities") {
@@ -74,12 +74,12 @@
     return primrosePolicy;
   }
   if (aName == "primrose-no-cache") {
-    primrosePolicy.mRules.mUseCache = false;
+    primrosePolicy.mRules.mUsePrefixAffinity = false;
     return primrosePolicy;
   }
   if (aName == "primrose-no-parts") {
     primrosePolicy.mRules.mLongSpread = 1;
-    primrosePolicy.mRules.mLongPart = kUnbounded;
+    primrosePolicy.mRules.mMaxLongPartTokens = kUnbounded;
     return primrosePolicy;
   }
   return Fail(error_kind::SettingsInvalid,
@@ -377,7 +377,7 @@
     return Fail(error_kind::SettingsInvalid, treeFile + ": has no model");
   }
   const model_settings& model = tree.Models().begin()->second;
-  read.mSimulation.mEngine = ShapeOf(model);
+  read.mSimulation.mEngine = EngineShapeFor(model);
   const policy values = tree.Resolve({});
   read.mLongPromptTokens = static_cast<tokens>(values.mLongPromptTokens);
   read.mSimulation.mQueueWaitSeconds = values.mQueueWaitSeconds;
--- a/Utilities/Bench/Mix.cpp
+++ b/Utilities/Bench/Mix.cpp
@@ -47,10 +47,10 @@
   const bool hasSharedPrefix = Uniform(aRandom) < aMix.mSharedPrefixPart;
   const std::uint64_t prefix = Below(aRandom, kSharedPrefixCount);
   const tokens sharedTokens =
-    hasSharedPrefix ? kFirstMarkTokens << Below(aRandom, 3) : 0;
+    hasSharedPrefix ? kMinPrefixTokens << Below(aRandom, 3) : 0;
   std::vector<std::uint64_t> hashes;
-  for (std::size_t i = 0; MarkLength(i) <= aPrompt; ++i) {
-    const bool inSharedPrefix = MarkLength(i) <= sharedTokens;
+  for (std::size_t i = 0; PrefixLength(i) <= aPrompt; ++i) {
+    const bool inSharedPrefix = PrefixLength(i) <= sharedTokens;
     hashes.push_back(Hash(fmt::format("{}/{}/{}",
                                       inSharedPrefix ? "p" : "r",
                                       inSharedPrefix ? prefix : aNumber,
@@ -71,7 +71,7 @@
 } // namespace
 
 double
-NominalCost(const work_shape& aShape,
+NominalCost(const request_shape& aShape,
             tokens aOutput,
             const engine_shape& aEngine)
 {
@@ -83,7 +83,7 @@
 }
 
 double
-NominalMemory(const work_shape& aShape,
+NominalMemory(const request_shape& aShape,
               tokens aOutput,
               const engine_shape& aEngine)
 {
@@ -91,7 +91,7 @@
   const double fullStep = StepSeconds(aEngine, 1, aEngine.mChunk, 0);
   const double steps = static_cast<double>(aShape.mPromptTokens) / chunk +
                        static_cast<double>(aOutput);
-  return static_cast<double>(aShape.Need()) * steps * fullStep;
+  return static_cast<double>(aShape.MemoryTokens()) * steps * fullStep;
 }
 
 double
@@ -103,7 +103,7 @@
   double cost = 0;
   double memory = 0;
   for (const length_class& lengthClass : aMix.mClasses) {
-    work_shape mean;
+    request_shape mean;
     mean.mPromptTokens = static_cast<tokens>(MeanPromptTokens(lengthClass));
     mean.mMaxTokens =
       static_cast<tokens>(kMaxOutputFactor * lengthClass.mMeanOutput);
@@ -139,7 +139,7 @@
     next.mClass = PickByWeight(aMix.mClasses, random);
     next.mOrganisation = PickByWeight(aMix.mOrganisations, random);
     const length_class& lengthClass = aMix.mClasses[next.mClass];
-    work_shape& shape = next.mShape;
+    request_shape& shape = next.mShape;
     shape.mModel = "model";
     shape.mOrganisation = aMix.mOrganisations[next.mOrganisation].mName;
     shape.mPromptTokens = static_cast<tokens>(LogUniform(
@@ -152,7 +152,7 @@
       static_cast<tokens>(kMaxOutputFactor * lengthClass.mMeanOutput);
     shape.mPriority = lengthClass.mPriority;
     shape.mLong = shape.mPromptTokens >= aLongPromptTokens;
-    shape.mMarks =
+    shape.mPrefixHashes =
       DrawPrefixHashes(aMix, shape.mPromptTokens, arrivals.size(), random);
     next.mDeadline = now + FromSeconds(lengthClass.mTimeLimitSeconds);
     arrivals.push_back(std::move(next));
--- a/Utilities/Bench/Mix.h
+++ b/Utilities/Bench/Mix.h
@@ -51,7 +51,7 @@
   time_point mTime;
   std::size_t mClass = 0;
   std::size_t mOrganisation = 0;
-  work_shape mShape;
+  request_shape mShape;
   tokens mOutput = 0;
   time_point mDeadline;
 
@@ -61,13 +61,13 @@
 /// Engine-seconds that a request costs if its engine always prefills whole
 /// chunks. Load is stated in this unit.
 double
-NominalCost(const work_shape& aShape,
+NominalCost(const request_shape& aShape,
             tokens aOutput,
             const engine_shape& aEngine);
 
 /// Token-seconds of memory that a request occupies on a busy engine.
 double
-NominalMemory(const work_shape& aShape,
+NominalMemory(const request_shape& aShape,
               tokens aOutput,
               const engine_shape& aEngine);
 
--- a/Utilities/Bench/Simulation.cpp
+++ b/Utilities/Bench/Simulation.cpp
@@ -12,7 +12,7 @@
 struct simulated_node
 {
   engine_model mEngine;
-  agent_board mAgent;
+  agent_state mAgent;
   /// Time of the engine step that is in the event queue.
   std::optional<time_point> mScheduledStep;
   bool mExpiryScheduled = false;
@@ -111,7 +111,7 @@
     mEvents;
   std::vector<simulated_node> mNodes;
   std::vector<std::string> mNames;
-  std::vector<placement_memory> mPlacementMemories;
+  std::vector<placement_state> mPlacementMemories;
   std::vector<std::size_t> mRoundRobinTurns;
   std::vector<std::vector<std::size_t>> mOutstanding;
   std::vector<in_flight_request> mInFlight;
@@ -141,14 +141,14 @@
   for (std::size_t i = 0; i < mNodes.size(); ++i) {
     mNodes[i].mEngine = MakeEngine(aSettings.mEngine);
     // The engines started an hour ago, so their slow start is over.
-    mNodes[i].mAgent = MakeAgentBoard("model",
+    mNodes[i].mAgent = MakeAgentState("model",
                                       aSettings.mEngine,
                                       aPolicy.mLimits,
                                       mNow - std::chrono::hours(1));
     mNames.push_back(fmt::format("engine-{}", i));
   }
-  for (placement_memory& memory : mPlacementMemories) {
-    memory.mLongFront = 1;
+  for (placement_state& memory : mPlacementMemories) {
+    memory.mLongPoolSize = 1;
   }
   for (std::size_t i = 0; i < mRoundRobinTurns.size(); ++i) {
     mRoundRobinTurns[i] = Below(mRandom, aSettings.mEngines);
@@ -329,12 +329,12 @@
                static_cast<unsigned>(aRequest.mGroupSize) * kProbesPerMember);
   }
   const std::vector<std::size_t> probed =
-    ChooseToProbe(mNames,
-                  aRequest.mArrival->mShape,
-                  rules,
-                  mPlacementMemories[aRequest.mGateway],
-                  aRequest.mGroupSize,
-                  mRandom);
+    ChooseProbeTargets(mNames,
+                       aRequest.mArrival->mShape,
+                       rules,
+                       mPlacementMemories[aRequest.mGateway],
+                       aRequest.mGroupSize,
+                       mRandom);
   mResult.mProbes += probed.size();
   const unsigned attempt = aRequest.mAttemptNumber;
   ScheduleAt(mNow + mSettings.mOneWayDelay,
@@ -352,7 +352,7 @@
   if (aRequest.mFinished) {
     return;
   }
-  const work_shape shape = MemberShape(
+  const request_shape shape = MemberShape(
     aRequest.mArrival->mShape, aRequest.mGroupSize, hold_role::Lead);
   std::vector<candidate> candidates;
   for (const std::size_t node : aProbed) {
@@ -362,19 +362,19 @@
       candidates.push_back({ node, Probe(mNodes[node].mAgent, shape, mNow) });
     }
   }
-  LearnFront(mPlacementMemories[aRequest.mGateway],
-             candidates,
-             shape,
-             mPolicy.mRules,
-             mSettings.mEngine,
-             aRequest.mGroupSize,
-             mNames.size());
+  UpdateLongPoolSize(mPlacementMemories[aRequest.mGateway],
+                     candidates,
+                     shape,
+                     mPolicy.mRules,
+                     mSettings.mEngine,
+                     aRequest.mGroupSize,
+                     mNames.size());
   aRequest.mRanked = RankCandidates(
     candidates,
     shape,
     mPolicy.mRules,
     mSettings.mEngine,
-    PacksLong(
+    PacksLongPrompts(
       mPolicy.mRules, mPlacementMemories[aRequest.mGateway], mNames.size()));
   if (aRequest.mRanked.size() < aRequest.mGroupSize) {
     HandleRefusal(aRequest, refusal::NoRoom);
@@ -464,8 +464,8 @@
     Finish(aRequest, request_outcome::Refused);
     return;
   }
-  const duration backoff =
-    RetryPause(aRequest.mAttemptNumber, std::chrono::milliseconds(50), mRandom);
+  const duration backoff = RetryBackoff(
+    aRequest.mAttemptNumber, std::chrono::milliseconds(50), mRandom);
   ScheduleStep(aRequest, backoff, &simulation::Place);
 }
 
@@ -501,7 +501,7 @@
   const double parts = static_cast<double>(aRequest.mGroupSize);
   for (std::size_t i = 0; i < aRequest.mNodes.size(); ++i) {
     simulated_node& node = mNodes[aRequest.mNodes[i]];
-    if (!StartReading(node.mAgent, aRequest.mAttemptId, mNow)) {
+    if (!StartPrefill(node.mAgent, aRequest.mAttemptId, mNow)) {
       HandleRefusal(aRequest, refusal::Cancelled);
       return;
     }
@@ -509,11 +509,11 @@
     job.mId = aRequest.mAttemptId;
     job.mPromptTokens = arrived.mShape.mPromptTokens;
     job.mOutputTokens = arrived.mOutput;
-    job.mReserveTokens =
-      node.mAgent.mWork.at(aRequest.mAttemptId).mReservation.mShape.Need();
-    job.mMarks = aRequest.mGroupSize > 1 ? std::vector<std::uint64_t>()
-                                         : arrived.mShape.mMarks;
-    job.mReadingPart = 1 / (1 + kGroupEfficiency * (parts - 1));
+    job.mReserveTokens = node.mAgent.mWork.at(aRequest.mAttemptId)
+                           .mReservation.mShape.MemoryTokens();
+    job.mPrefixHashes = aRequest.mGroupSize > 1 ? std::vector<std::uint64_t>()
+                                                : arrived.mShape.mPrefixHashes;
+    job.mPrefillPart = 1 / (1 + kGroupEfficiency * (parts - 1));
     job.mGroupPart = aRequest.mGroupSize > 1;
     constexpr unsigned kLongStep = 4;
     job.mPriority =
@@ -559,14 +559,14 @@
   if (request.mFinished || request.mAttemptId != aOutput.mId) {
     return;
   }
-  if (aOutput.mPartRead) {
-    NoteFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
+  if (aOutput.mPartPrefilled) {
+    RecordFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
     HandlePrefilledPart(request);
     return;
   }
   request_record& record = mResult.mRequests[request.mIndex];
   if (aOutput.mIndex == 0) {
-    NoteFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
+    RecordFirstToken(mNodes[aNode].mAgent, request.mAttemptId, mNow);
     record.mSecondsToFirstToken =
       Seconds(mNow + mSettings.mOneWayDelay - request.mArrival->mTime);
   }
@@ -583,7 +583,7 @@
     return;
   }
   const std::size_t lead = aRequest.mNodes.front();
-  BeginWriting(mNodes[lead].mEngine, aRequest.mAttemptId, mNow);
+  BeginDecoding(mNodes[lead].mEngine, aRequest.mAttemptId, mNow);
   ScheduleEngineStep(lead);
 }
 
@@ -639,7 +639,7 @@
 {
   simulated_node& node = mNodes[aNode];
   node.mExpiryScheduled = false;
-  for (const expired_work& item : Expire(node.mAgent, mNow)) {
+  for (const expired_reservation& item : Expire(node.mAgent, mNow)) {
     in_flight_request& request = mInFlight[mRequestOfAttempt.at(item.mAttempt)];
     if (!request.mFinished && request.mAttemptId == item.mAttempt) {
       HandleRefusal(request, refusal::NoRoom);
@@ -656,10 +656,11 @@
 {
   for (std::size_t i = 0; i < mNodes.size(); ++i) {
     const simulated_node& node = mNodes[i];
-    double unread = UnreadByEngine(node.mEngine);
+    double unread = PendingPrefillTokens(node.mEngine);
     std::size_t running = node.mEngine.mJobs.size();
     for (const auto& [attempt, work] : node.mAgent.mWork) {
-      if (work.mStage == stage::Waiting || work.mStage == stage::Granted) {
+      if (work.mStage == reservation_stage::Waiting ||
+          work.mStage == reservation_stage::Granted) {
         unread += static_cast<double>(work.mReservation.mShape.mPromptTokens);
         ++running;
       }
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -175,7 +175,7 @@
 ListVm(control_context& aContext)
 {
   const std::vector<std::string>& arguments = aContext.mArguments;
-  const std::optional<vm_kind> kind = VmKindNamed(arguments[1]);
+  const std::optional<vm_kind> kind = ParseVmKind(arguments[1]);
   if (!kind) {
     return Fail(error_kind::SettingsInvalid,
                 "expected engine, service or entry, found \"" + arguments[1] +
--- a/Utilities/StandIn/EngineEmulator.cpp
+++ b/Utilities/StandIn/EngineEmulator.cpp
@@ -43,14 +43,14 @@
   tokens mSentTokens = 0;
   bool mCutHalfway = false;
   tokens mOutputTokens = 0;
-  std::vector<std::uint64_t> mMarks;
+  std::vector<std::uint64_t> mPrefixHashes;
 };
 
 struct cache_event
 {
   std::uint64_t mNumber = 0;
   time_point mVisible;
-  std::vector<std::uint64_t> mMarks;
+  std::vector<std::uint64_t> mPrefixHashes;
 };
 
 struct order_state
@@ -65,7 +65,7 @@
   engine_emulator(const clock_source& aClock, const model_settings& aModel)
     : mClock(aClock)
     , mModel(aModel.mName)
-    , mEngine(MakeEngine(ShapeOf(aModel)))
+    , mEngine(MakeEngine(EngineShapeFor(aModel)))
   {
   }
   ~engine_emulator() override { StopTimer(); }
@@ -105,7 +105,8 @@
   void FaultsChanged() override
   {
     constexpr double kPercent = 100;
-    mEngine.mSlowFactor = static_cast<double>(mFaults.mStepPercent) / kPercent;
+    mEngine.mStepTimeFactor =
+      static_cast<double>(mFaults.mStepPercent) / kPercent;
   }
 
 private:
@@ -129,9 +130,9 @@
     job.mOutputTokens = static_cast<tokens>(output);
     job.mReserveTokens =
       (job.mPromptTokens + members) / (members + 1) + job.mOutputTokens;
-    job.mMarks = PromptMarks(prompt);
+    job.mPrefixHashes = PrefixHashes(prompt);
     job.mPriority = static_cast<unsigned>(priority);
-    job.mReadingPart = 1 / (1 + kGroupEfficiency * (parts - 1));
+    job.mPrefillPart = 1 / (1 + kGroupEfficiency * (parts - 1));
     if (!Submit(mEngine, job, mClock.Now())) {
       return Fail(error_kind::PromptTooLong,
                   "larger than the engine's memory, or a known id");
@@ -139,7 +140,7 @@
     stream_state stream;
     stream.mPromptHash = Hash(prompt);
     stream.mOutputTokens = job.mOutputTokens;
-    stream.mMarks = job.mMarks;
+    stream.mPrefixHashes = job.mPrefixHashes;
     stream.mExchange = aExchange;
     if (mFaults.mCutStreams > 0) {
       --mFaults.mCutStreams;
@@ -256,7 +257,7 @@
     json load = { { "running", mEngine.mJobs.size() },
                   { "used_tokens", mEngine.mUsed },
                   { "capacity_tokens", mEngine.mShape.mCapacity },
-                  { "unread_tokens", UnreadByEngine(mEngine) },
+                  { "unread_tokens", PendingPrefillTokens(mEngine) },
                   { "steps", mEngine.mSteps } };
     mLoads.push_back({ now, load });
     while (mLoads.size() > 1 && now - mLoads[1].first >= kLoadLag) {
@@ -275,7 +276,7 @@
       if (static_cast<double>(event.mNumber) > after &&
           event.mVisible <= mClock.Now()) {
         rows.push_back(
-          { { "number", event.mNumber }, { "cached", event.mMarks } });
+          { { "number", event.mNumber }, { "cached", event.mPrefixHashes } });
       }
     }
     AnswerJson(aExchange, { { "events", rows } });
@@ -369,7 +370,7 @@
       stream.mFinishedAt = aNow;
     }
     if (aOutput.mIndex == 0) {
-      PublishCacheEvent(stream.mMarks, aNow);
+      PublishCacheEvent(stream.mPrefixHashes, aNow);
     }
     SendPendingTokens(stream);
   }
