--- a/Utilities/Bench/SampleEngine.h
+++ b/Utilities/Bench/SampleEngine.h
@@ -3,7 +3,7 @@
 /// An engine's timing as the users' deployments declare it, for tests and
 /// benchmarks of placement.
 
-#include "LibFleet/EngineCost.h"
+#include "LibFleet/EngineTiming.h"
 
 namespace primrose {
 
