--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -22,7 +22,7 @@
     mostReading = std::max(mostReading, seconds);
     memory += load.mTokens;
     mostMemory = std::max(mostMemory, load.mTokens);
-    writing += static_cast<double>(load.mWriting.size());
+    writing += static_cast<double>(load.mDecoding.size());
   }
   metrics& out = aBoard.mMetrics;
   out.Set("gateway_promised_reading_seconds", reading);
@@ -94,7 +94,7 @@
 }
 
 std::int64_t
-CountPreferred(const endpoint_board& aBoard)
+CountPreferred(const endpoint_registry& aBoard)
 {
   return std::count_if(
     aBoard.mEndpoints.begin(), aBoard.mEndpoints.end(), [](const auto& aEntry) {
--- a/Utilities/Bench/GatewayCosts.cpp
+++ b/Utilities/Bench/GatewayCosts.cpp
@@ -18,16 +18,16 @@
 constexpr double kShortPrompt = 5000;
 constexpr double kLongPrompt = 154000;
 
-engine_work
+placement_request
 MakeRequest(double aTokens)
 {
-  engine_work request;
+  placement_request request;
   request.mService = "model";
   request.mPromptTokens = aTokens;
   request.mAnswerTokens = 1600;
   request.mLongestPause = std::chrono::milliseconds(250);
   request.mObjective = std::chrono::milliseconds(300);
-  request.mWorth = WorthOfWork(aTokens);
+  request.mWorth = WorthOfPrompt(aTokens);
   return request;
 }
 
@@ -44,7 +44,7 @@
       (void)ApplyRow(mEndpoints, { listed.mId, 1, listed });
       constexpr int kStreams = 10;
       for (int stream = 0; i % 3 == 0 && stream < kStreams; ++stream) {
-        NotePlaced(mLedger, MakePlacement(EngineKey(listed.mId)), kStart);
+        AddPlacement(mLedger, MakePlacement(EngineKey(listed.mId)), kStart);
       }
     }
   }
@@ -54,7 +54,7 @@
     placement placed;
     placed.mKey = ++mLastKey;
     placed.mEngines.push_back(aEngine);
-    placed.mPartMs = 1;
+    placed.mPartPrefillMs = 1;
     placed.mLongestPause = std::chrono::milliseconds(250);
     placed.mWorth = 1;
     placed.mTokens = kShortPrompt;
@@ -62,7 +62,7 @@
     return placed;
   }
 
-  endpoint_board mEndpoints;
+  endpoint_registry mEndpoints;
   engine_ledger mLedger;
   placement_key mLastKey = 0;
 };
@@ -72,7 +72,7 @@
 {
   loaded_fleet fleet(aState.range(0));
   const engine_timing timing = SampleEngine();
-  const engine_work request = MakeRequest(aTokens);
+  const placement_request request = MakeRequest(aTokens);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(PlaceOnEngines(
       fleet.mEndpoints, fleet.mLedger, timing, request, {}, "a", kStart));
@@ -97,8 +97,8 @@
   const engine_key engine = EngineKey("i-00000000");
   for (auto _ : aState) {
     const placement placed = fleet.MakePlacement(engine);
-    NotePlaced(fleet.mLedger, placed, kStart);
-    NoteEnded(fleet.mLedger, placed.mKey, placement_end::Read, kStart);
+    AddPlacement(fleet.mLedger, placed, kStart);
+    RemovePlacement(fleet.mLedger, placed.mKey, placement_end::Read, kStart);
   }
 }
 BENCHMARK(PlacementNotedAndEnded)->Arg(21)->Arg(1200);
