--- a/Libraries/LibFleet/Endpoints.cpp
+++ b/Libraries/LibFleet/Endpoints.cpp
@@ -191,9 +191,9 @@
 }
 
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow)
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow)
 {
   return Usable(aEndpoint, aService) && Admits(aEndpoint.mLimit, aNow);
 }
@@ -216,7 +216,7 @@
 }
 
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow)
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow)
 {
   return aEndpoint.mHealth.mAvoidUntil > aNow;
 }
@@ -244,12 +244,12 @@
   known_endpoint* best = nullptr;
   rank bestRank;
   for (auto& [id, known] : aBoard.mEndpoints) {
-    if (!Admissible(known, aService, aNow) ||
+    if (!IsAdmissible(known, aService, aNow) ||
         std::find(aTried.begin(), aTried.end(), id) != aTried.end()) {
       continue;
     }
     const rank candidate{
-      Avoided(known, aNow),
+      IsAvoided(known, aNow),
       known.mOutstanding,
       known.mListed.mDataCentre != aDataCentre,
       Hash(id, static_cast<std::uint64_t>(aDraw * kDrawSteps))
--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -123,9 +123,9 @@
 
 /// True if the endpoint is usable and its limit admits a request by this entry.
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow);
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow);
 
 /// Time until the limit of a usable endpoint of the service, other than those
 /// in `aTried`, admits a request; nullopt if there is no such endpoint.
@@ -137,7 +137,7 @@
 
 /// True if recent signs say to go elsewhere while there is an elsewhere.
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow);
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow);
 
 /// The least busy endpoint of a plain service that is not in `aTried`; of
 /// equals, one of the same data centre, then by `aDraw` in [0, 1). Null if
--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -130,9 +130,9 @@
 }
 
 placement
-PlacementOf(const engine_choice& aChoice,
-            const placement_request& aWork,
-            placement_key aKey)
+MakePlacement(const engine_choice& aChoice,
+              const placement_request& aWork,
+              placement_key aKey)
 {
   placement placed;
   placed.mKey = aKey;
--- a/Libraries/LibFleet/EnginePlacement.h
+++ b/Libraries/LibFleet/EnginePlacement.h
@@ -106,9 +106,9 @@
 /// What the ledger is to know of a choice that is carried out. Whose it is,
 /// when its caller asked and when it expires is left to who carries it out.
 placement
-PlacementOf(const engine_choice& aChoice,
-            const placement_request& aWork,
-            placement_key aKey);
+MakePlacement(const engine_choice& aChoice,
+              const placement_request& aWork,
+              placement_key aKey);
 
 /// After which time a prompt that is turned away now would be taken, if nothing
 /// else came; `aLongest` if not before.
--- a/Libraries/LibFleet/PlacementCandidates.cpp
+++ b/Libraries/LibFleet/PlacementCandidates.cpp
@@ -78,7 +78,7 @@
   static const engine_load kIdle{};
   const auto usable = [&aWork, &aTried, aNow](const std::string& aId,
                                               const known_endpoint& aKnown) {
-    return Admissible(aKnown, aWork.mService, aNow) &&
+    return IsAdmissible(aKnown, aWork.mService, aNow) &&
            std::find(aTried.begin(), aTried.end(), aId) == aTried.end();
   };
   const bool anyPreferred = std::any_of(
@@ -105,7 +105,7 @@
     one.mDecodePassMs = DecodePassMs(aTiming,
                                      static_cast<double>(one.mRequests + 1),
                                      load.mTokens + aWork.mPromptTokens);
-    one.mAvoided = Avoided(known, aNow);
+    one.mAvoided = IsAvoided(known, aNow);
     one.mInOtherDataCentre = known.mListed.mDataCentre != aDataCentre;
     candidates.push_back(std::move(one));
   }
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -41,14 +41,14 @@
 exchange::Sign(known_endpoint& aEndpoint, endpoint_health_event aSign)
 {
   const time_point now = mContext.mLoop.Now();
-  const bool was = Avoided(aEndpoint, now);
+  const bool was = IsAvoided(aEndpoint, now);
   RecordHealthEvent(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_health_event::ConnectionBroken ||
       aSign == endpoint_health_event::Silent ||
       aSign == endpoint_health_event::Unreachable) {
     mContext.mOutbox.AnnounceEndpointFailure(EngineKey(aEndpoint.mListed.mId));
   }
-  if (!was && Avoided(aEndpoint, now)) {
+  if (!was && IsAvoided(aEndpoint, now)) {
     Log(log_level::Warning,
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -180,7 +180,7 @@
                         const placement_request& aWork)
 {
   gateway_board& board = mContext.mBoard;
-  placement placed = PlacementOf(
+  placement placed = MakePlacement(
     aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacement));
   placed.mOwner = board.mBoot;
   placed.mBegan = mBegan;
@@ -454,7 +454,7 @@
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
-    if (Admissible(known, mService->mName, mContext.mLoop.Now()) &&
+    if (IsAdmissible(known, mService->mName, mContext.mLoop.Now()) &&
         std::find(mPassedOver.begin(), mPassedOver.end(), id) ==
           mPassedOver.end()) {
       return true;
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -116,7 +116,7 @@
     static_cast<double>(std::count_if(
       aBoard.mEndpoints.mEndpoints.begin(),
       aBoard.mEndpoints.mEndpoints.end(),
-      [aNow](const auto& aEntry) { return Avoided(aEntry.second, aNow); })));
+      [aNow](const auto& aEntry) { return IsAvoided(aEntry.second, aNow); })));
   out.Set("gateway_requests_held",
           static_cast<double>(aBoard.mQuarantine.mHeld.size()));
   out.Set("gateway_requests_suspected",
--- a/Tests/Unit/FleetStateTest.cpp
+++ b/Tests/Unit/FleetStateTest.cpp
@@ -134,8 +134,8 @@
     for (int i = 0; i < 10; ++i) {
       RecordHealthEvent(known.mHealth, endpoint_health_event::Failed, kStart);
     }
-    CPPUNIT_ASSERT(Avoided(known, kStart));
-    CPPUNIT_ASSERT(!Avoided(known, kStart + std::chrono::seconds(10)));
+    CPPUNIT_ASSERT(IsAvoided(known, kStart));
+    CPPUNIT_ASSERT(!IsAvoided(known, kStart + std::chrono::seconds(10)));
     RecordHealthEvent(known.mHealth, endpoint_health_event::Answered, kStart);
     CPPUNIT_ASSERT_EQUAL(0U, known.mHealth.mBackoffFailures);
   }
@@ -150,9 +150,9 @@
     known_endpoint known;
     RecordPeerFailureReport(known.mHealth, kStart);
     RecordPeerFailureReport(known.mHealth, kStart + milliseconds(60));
-    CPPUNIT_ASSERT(!Avoided(known, kStart + milliseconds(60)));
+    CPPUNIT_ASSERT(!IsAvoided(known, kStart + milliseconds(60)));
     RecordPeerFailureReport(known.mHealth, kStart + milliseconds(150));
-    CPPUNIT_ASSERT(Avoided(known, kStart + milliseconds(150)));
+    CPPUNIT_ASSERT(IsAvoided(known, kStart + milliseconds(150)));
     // What is told meanwhile of older attempts makes it no longer.
     const time_point until = known.mHealth.mAvoidUntil;
     RecordPeerFailureReport(known.mHealth, kStart + milliseconds(200));
@@ -165,7 +165,7 @@
                       endpoint_health_event::ConnectionBroken,
                       kStart + milliseconds(60));
     RecordPeerFailureReport(own.mHealth, kStart + milliseconds(150));
-    CPPUNIT_ASSERT(Avoided(own, kStart + milliseconds(150)));
+    CPPUNIT_ASSERT(IsAvoided(own, kStart + milliseconds(150)));
   }
 
   /// Symptom: an entry that was cut off for five seconds refuses routes that
@@ -257,11 +257,11 @@
     for (int i = 0; i < 12; ++i) {
       RecordPeerFailureReport(known.mHealth, kStart + milliseconds(i));
     }
-    CPPUNIT_ASSERT(!Avoided(known, kStart + milliseconds(12)));
+    CPPUNIT_ASSERT(!IsAvoided(known, kStart + milliseconds(12)));
     for (int second = 1; second < 10; ++second) {
       const time_point now = kStart + std::chrono::seconds(second);
       RecordPeerFailureReport(known.mHealth, now);
-      CPPUNIT_ASSERT(!Avoided(known, now));
+      CPPUNIT_ASSERT(!IsAvoided(known, now));
     }
   }
 };
--- a/Tests/Unit/PlacementTest.cpp
+++ b/Tests/Unit/PlacementTest.cpp
@@ -65,7 +65,7 @@
                       std::optional<time_point> aBegan = std::nullopt)
   {
     const engine_choice choice = Choose(aWork, aNow);
-    placement placed = PlacementOf(choice, aWork, ++mLast);
+    placement placed = MakePlacement(choice, aWork, ++mLast);
     placed.mOwner = 1;
     placed.mBegan = aBegan.value_or(aNow);
     placed.mExpires = kStart + std::chrono::hours(1);
@@ -271,7 +271,7 @@
   {
     constexpr double kTokensPerPass = 80;
     constexpr double kPassMs = 75;
-    placement placed = PlacementOf(aChoice, aWork, ++mLast);
+    placement placed = MakePlacement(aChoice, aWork, ++mLast);
     placed.mOwner = 1;
     placed.mBegan = mNow;
     placed.mExpires = mNow + std::chrono::seconds(30);
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -57,7 +57,7 @@
     entry& at = mEntries[aEntry];
     const engine_choice choice =
       *PlaceOnEngines(at.mBoard, at.mLedger, Timing(), aWork, {}, "a", aNow);
-    placement placed = PlacementOf(choice, aWork, ++mLast);
+    placement placed = MakePlacement(choice, aWork, ++mLast);
     placed.mBegan = aNow;
     placed.mExpires = kStart + std::chrono::hours(1);
     AddPlacement(at.mLedger, placed, aNow);
