--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -30,7 +30,7 @@
   entry_board& mBoard;
   table_client& mStore;
   std::map<std::string, std::shared_ptr<agent_link>> mLinks;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -171,7 +171,7 @@
 call_run::TakeAnswer(wire::CallAnswer::Reader aAnswer)
 {
   const std::optional<error_kind> kind =
-    KindNamed(TextFrom(aAnswer.getErrorKind()));
+    ParseErrorKind(TextFrom(aAnswer.getErrorKind()));
   const ran_state ran = FromWire(aAnswer.getRan());
   if (kind) {
     failure why{ *kind, TextFrom(aAnswer.getErrorMessage()), ran, {} };
@@ -198,7 +198,7 @@
         { "status", aAnswer.getStatus() },
         { "replayed", aAnswer.getReplayed() },
         { "seconds", Seconds(mClock.Now() - mStarted) } });
-  mExchange->SetHeader("Primrose-Ran", std::string(RanName(ran)));
+  mExchange->SetHeader("Primrose-Ran", std::string(RanStateName(ran)));
   if (aAnswer.getReplayed()) {
     mExchange->SetHeader("Idempotent-Replayed", "true");
   }
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -253,7 +253,7 @@
       }
       const std::string named = TextFrom(ending.getErrorKind());
       return TakeEnding(
-        failure{ KindNamed(named).value_or(error_kind::EndpointFailed),
+        failure{ ParseErrorKind(named).value_or(error_kind::EndpointFailed),
                  TextFrom(ending.getErrorMessage()),
                  mRan,
                  std::nullopt },
--- a/Services/Entry/EntryBoard.cpp
+++ b/Services/Entry/EntryBoard.cpp
@@ -43,21 +43,21 @@
 {
   const std::string_view kind = AnswerFor(aWhy.mKind).mName;
   aBoard.mMetrics.Count(Labelled(aFamily, "outcome", kind));
-  Record(
-    aBoard,
-    aClock,
-    aRequest,
-    decision_kind::Finish,
-    fmt::format("{}: {} (ran: {})", kind, aWhy.mMessage, RanName(aWhy.mRan)),
-    aPath,
-    { "time_limit_s", "attempts" });
+  Record(aBoard,
+         aClock,
+         aRequest,
+         decision_kind::Finish,
+         fmt::format(
+           "{}: {} (ran: {})", kind, aWhy.mMessage, RanStateName(aWhy.mRan)),
+         aPath,
+         { "time_limit_s", "attempts" });
   Log(log_level::Warning,
       aEvent,
       { { "request", aRequest },
         { "organisation", aPath.mOrganisation },
         { "service", aPath.mService },
         { "kind", kind },
-        { "ran", RanName(aWhy.mRan) },
+        { "ran", RanStateName(aWhy.mRan) },
         { "why", aWhy.mMessage } });
 }
 
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -121,7 +121,7 @@
   if (aContext.mJson) {
     std::cout << statuses.dump(2) << "\n";
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -146,13 +146,13 @@
     }
     if (aContext.mJson) {
       std::cout << answer.mValue->dump(2) << "\n";
-      return kExitGood;
+      return kExitSuccess;
     }
     std::cout << fmt::format("{} at {}\n", request, owner);
     for (const json& decision : (*answer.mValue)["decisions"]) {
       PrintDecision(decision);
     }
-    return kExitGood;
+    return kExitSuccess;
   }
   return Fail(lastFailure);
 }
@@ -168,7 +168,7 @@
     return Fail(error_kind::EndpointFailed, response.mBody);
   }
   std::cout << address << " drains: " << response.mBody << "\n";
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -191,7 +191,7 @@
                                           aContext.mSettings.mPlatform +
                                           "/vms/" + arguments[0],
                                         ToJson(endpoint).dump()));
-  return response.mStatus == kStatusOk ? kExitGood : kExitFailed;
+  return response.mStatus == kStatusOk ? kExitSuccess : kExitFailure;
 }
 
 result<int>
@@ -205,7 +205,7 @@
   for (std::string line; std::getline(lines, line);) {
     if (line.starts_with(prefix)) {
       std::cout << line.substr(prefix.size()) << "\n";
-      return kExitGood;
+      return kExitSuccess;
     }
   }
   return Fail(error_kind::NotFound, url + " has no " + aContext.mArguments[1]);
@@ -229,7 +229,7 @@
         static_cast<double>((*status)["endpoints"].size()) >= wantedEndpoints;
     }
     if (allReady) {
-      return kExitGood;
+      return kExitSuccess;
     }
     Delay(kPollInterval).wait(aContext.mLoop.Scope());
   }
--- a/Utilities/Control/LogCommands.cpp
+++ b/Utilities/Control/LogCommands.cpp
@@ -33,12 +33,12 @@
   }
   if (aContext.mJson) {
     std::cout << json(timeline).dump() << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   for (const std::string& line : timeline) {
     std::cout << line << "\n";
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 } // namespace primrose::control
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -63,7 +63,7 @@
                         ReadFaults(mEmulator->mFaults, aExchange->Body()));
       mEmulator->FaultsChanged();
       if (mEmulator->mFaults.mDie) {
-        std::_Exit(kExitFailed);
+        std::_Exit(kExitFailure);
       }
     }
     AnswerJson(aExchange, ToJson(mEmulator->mFaults));
@@ -72,7 +72,7 @@
 
   std::unique_ptr<emulator> mEmulator;
   std::vector<exchange> mHeldOpenExchanges;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
@@ -116,9 +116,9 @@
   BOOST_LEAF_ASSIGN(std::unique_ptr<emulator> emulated,
                     MakeEmulator(kind, settings, listLag, clock));
   BOOST_LEAF_ASSIGN(ip_address const address, ParseAddress(settings.mHttp));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   StartLog(settings.mName, aOptions.mLogLevel);
   faulty_server faultyServer(std::move(emulated));
@@ -147,11 +147,11 @@
     PRIMROSE_VERSION,
     "stands in for a model engine, a plain service or the platform"
   };
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "face",
     boost::program_options::value<std::string>()->default_value("engine"),
     "engine, service or platform");
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "list-lag-ms",
     boost::program_options::value<std::int64_t>()->default_value(
       kDefaultListLagMs),
