--- a/Services/Entry/AgentPool.cpp
+++ b/Services/Entry/AgentPool.cpp
@@ -70,7 +70,7 @@
   }
 }
 
-std::shared_ptr<agent_link>
+std::shared_ptr<agent_connection>
 agent_pool::Link(const std::string& aEndpoint)
 {
   const auto known = mLinks.find(aEndpoint);
@@ -86,7 +86,7 @@
   if (!address) {
     return nullptr;
   }
-  std::shared_ptr<agent_link> link = std::make_shared<agent_link>(
+  std::shared_ptr<agent_connection> link = std::make_shared<agent_connection>(
     *address.mValue, mBoard.mSettings.mRpcKey, mBoard.mSettings.mName);
   mLinks.emplace(aEndpoint, link);
   return link;
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -19,7 +19,7 @@
   void Start();
   /// The connection to an endpoint's agent. Shared: a request may outlive the
   /// endpoint's row in the list.
-  std::shared_ptr<agent_link> Link(const std::string& aEndpoint);
+  std::shared_ptr<agent_connection> Link(const std::string& aEndpoint);
 
 private:
   kj::Promise<void> Watch();
@@ -29,7 +29,7 @@
   const clock_source& mClock;
   entry_board& mBoard;
   table_client& mStore;
-  std::map<std::string, std::shared_ptr<agent_link>> mLinks;
+  std::map<std::string, std::shared_ptr<agent_connection>> mLinks;
   task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -76,7 +76,7 @@
 {
   ++mAttempts;
   const std::string endpoint = Choose();
-  const std::shared_ptr<agent_link> link =
+  const std::shared_ptr<agent_connection> link =
     endpoint.empty() ? nullptr : mPool.Link(endpoint);
   if (link == nullptr) {
     mTried.clear();
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -340,7 +340,7 @@
 kj::Promise<void>
 completion_run::WhenTaken()
 {
-  if (mOver || mExchange->Backlog() <= kLargestBacklog) {
+  if (mOver || mExchange->UnsentBytes() <= kLargestBacklog) {
     return kj::READY_NOW;
   }
   return Delay(kBacklogPause).then([this]() { return WhenTaken(); });
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -96,7 +96,7 @@
 placer::ProbeOne(std::shared_ptr<search> aSearch, std::size_t aIndex)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.Link(name);
+  const std::shared_ptr<agent_connection> link = mPool.Link(name);
   if (link == nullptr) {
     return std::optional<candidate>();
   }
@@ -249,7 +249,7 @@
                    hold_role aRole)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.Link(name);
+  const std::shared_ptr<agent_connection> link = mPool.Link(name);
   if (link == nullptr) {
     return kj::READY_NOW;
   }
--- a/Services/Entry/Placer.h
+++ b/Services/Entry/Placer.h
@@ -19,7 +19,7 @@
   std::string mAttempt;
   wire::Ticket::Client mTicket;
   /// Keeps the connection for as long as the reservation is used.
-  std::shared_ptr<agent_link> mLink;
+  std::shared_ptr<agent_connection> mLink;
 };
 
 /// Places for one request: one, or the members of a group with the lead first.
