--- a/Libraries/LibSettings/NodeSettings.cpp
+++ b/Libraries/LibSettings/NodeSettings.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::string
-RelativeTo(const std::string& aFile, const std::string& aPath)
+ResolveRelativePath(const std::string& aFile, const std::string& aPath)
 {
   if (aPath.empty()) {
     return aPath;
@@ -16,7 +16,7 @@
 }
 
 void
-ReadAgentPart(object_reader& aReader, node_settings& aSettings)
+ReadAgentSettings(object_reader& aReader, node_settings& aSettings)
 {
   aSettings.mRpc = aReader.RequiredAddress("rpc");
   aSettings.mEndpoint = aReader.RequiredAddress("endpoint");
@@ -42,9 +42,9 @@
   node_settings settings;
   settings.mName = reader.RequiredText("name");
   settings.mHttp = reader.RequiredAddress("http");
-  settings.mTree = RelativeTo(aFile, reader.RequiredText("tree"));
+  settings.mTree = ResolveRelativePath(aFile, reader.RequiredText("tree"));
   settings.mAddressFile =
-    RelativeTo(aFile, reader.Text("address_file").value_or(""));
+    ResolveRelativePath(aFile, reader.Text("address_file").value_or(""));
   if (aRole != node_role::StandIn) {
     settings.mRegion = reader.RequiredText("region");
     settings.mDataCentre = reader.RequiredText("data_centre");
@@ -53,7 +53,7 @@
     settings.mOperatorKeyHash = reader.RequiredText("operator_key_sha256");
   }
   if (aRole == node_role::Agent) {
-    ReadAgentPart(reader, settings);
+    ReadAgentSettings(reader, settings);
   }
   if (aRole == node_role::StandIn) {
     settings.mServes = reader.Text("serves").value_or("");
--- a/Libraries/LibSettings/ObjectReader.cpp
+++ b/Libraries/LibSettings/ObjectReader.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::size_t
-LineOf(const std::string& aText, std::size_t aByte)
+LineNumberAt(const std::string& aText, std::size_t aByte)
 {
   const auto end =
     aText.begin() + static_cast<std::ptrdiff_t>(std::min(aByte, aText.size()));
@@ -24,7 +24,7 @@
 }
 
 std::string
-Shown(const json& aValue)
+DescribeValue(const json& aValue)
 {
   constexpr std::size_t kLongest = 40;
   std::string text =
@@ -59,7 +59,7 @@
 const json*
 object_reader::Find(const std::string& aKey)
 {
-  mKnown.push_back(aKey);
+  mKnownKeys.push_back(aKey);
   if (mObject == nullptr) {
     return nullptr;
   }
@@ -83,7 +83,7 @@
                        aRange.mLowest,
                        aRange.mHighest,
                        aRange.mUnit,
-                       Shown(*value)));
+                       DescribeValue(*value)));
     return std::nullopt;
   }
   return value->get<double>();
@@ -97,7 +97,8 @@
     return std::nullopt;
   }
   if (!value->is_string()) {
-    Report(aKey, fmt::format("expected a text, found {}", Shown(*value)));
+    Report(aKey,
+           fmt::format("expected a text, found {}", DescribeValue(*value)));
     return std::nullopt;
   }
   return value->get<std::string>();
@@ -111,8 +112,9 @@
     return std::nullopt;
   }
   if (!value->is_boolean()) {
-    Report(aKey,
-           fmt::format("expected true or false, found {}", Shown(*value)));
+    Report(
+      aKey,
+      fmt::format("expected true or false, found {}", DescribeValue(*value)));
     return std::nullopt;
   }
   return value->get<bool>();
@@ -132,8 +134,9 @@
       return aItem.is_string();
     });
   if (!isList) {
-    Report(aKey,
-           fmt::format("expected a list of texts, found {}", Shown(*value)));
+    Report(
+      aKey,
+      fmt::format("expected a list of texts, found {}", DescribeValue(*value)));
     return texts;
   }
   for (const json& item : *value) {
@@ -150,7 +153,8 @@
     return nullptr;
   }
   if (!value->is_object()) {
-    Report(aKey, fmt::format("expected an object, found {}", Shown(*value)));
+    Report(aKey,
+           fmt::format("expected an object, found {}", DescribeValue(*value)));
     return nullptr;
   }
   return value;
@@ -190,14 +194,15 @@
     return;
   }
   for (const auto& [key, value] : mObject->items()) {
-    if (std::find(mKnown.begin(), mKnown.end(), key) != mKnown.end()) {
+    if (std::find(mKnownKeys.begin(), mKnownKeys.end(), key) !=
+        mKnownKeys.end()) {
       continue;
     }
-    const std::optional<std::string> nearest = NearestWord(key, mKnown);
+    const std::optional<std::string> nearest = NearestWord(key, mKnownKeys);
     Report(key,
            nearest ? fmt::format("unknown key; did you mean \"{}\"?", *nearest)
                    : fmt::format("unknown key; expected one of: {}",
-                                 fmt::join(mKnown, ", ")));
+                                 fmt::join(mKnownKeys, ", ")));
   }
 }
 
@@ -210,14 +215,14 @@
       return Fail(error_kind::SettingsInvalid,
                   fmt::format("{}: /: expected an object, found {}",
                               aSource,
-                              Shown(document)));
+                              DescribeValue(document)));
     }
     return document;
   } catch (const json::parse_error& problem) {
     return Fail(error_kind::SettingsInvalid,
                 fmt::format("{}: line {}: not JSON with comments: {}",
                             aSource,
-                            LineOf(aText, problem.byte),
+                            LineNumberAt(aText, problem.byte),
                             problem.what()));
   }
 }
--- a/Libraries/LibSettings/ObjectReader.h
+++ b/Libraries/LibSettings/ObjectReader.h
@@ -55,13 +55,13 @@
   std::string RequiredAddress(const std::string& aKey);
 
   /// Takes note of a key that its caller reads by itself.
-  void Expect(const std::string& aKey) { mKnown.push_back(aKey); }
+  void Expect(const std::string& aKey) { mKnownKeys.push_back(aKey); }
 
   /// Reports the keys that nobody asked for, with the nearest known one.
   void Finish();
   void Report(const std::string& aKey, std::string aText);
   /// Takes over a problem that another reader found.
-  void Adopt(settings_problem aProblem)
+  void AddProblem(settings_problem aProblem)
   {
     mProblems.push_back(std::move(aProblem));
   }
@@ -73,12 +73,12 @@
   const json* mObject;
   std::string mPath;
   settings_problems& mProblems;
-  std::vector<std::string> mKnown;
+  std::vector<std::string> mKnownKeys;
 };
 
 /// How a wrong value is shown in a message; long ones are cut.
 std::string
-Shown(const json& aValue);
+DescribeValue(const json& aValue);
 
 /// Parses JSON with comments. `aSource` names the text in messages.
 result<json>
--- a/Libraries/LibSettings/Policy.cpp
+++ b/Libraries/LibSettings/Policy.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr double kDay = 86400;
-constexpr double kManyTokens = 1e15;
+constexpr double kSecondsPerDay = 86400;
+constexpr double kMaxTokenValue = 1e15;
 
-constexpr std::array kValues = {
+constexpr std::array kPolicyValues = {
   policy_value{ "time_limit_s",
                 &policy::mTimeLimitSeconds,
-                { 0.001, kDay, "seconds" },
+                { 0.001, kSecondsPerDay, "seconds" },
                 "A request's time limit when it names none." },
   policy_value{ "longest_time_limit_s",
                 &policy::mLongestTimeLimitSeconds,
-                { 0.001, kDay, "seconds" },
+                { 0.001, kSecondsPerDay, "seconds" },
                 "The largest Request-Timeout that is taken." },
   policy_value{ "priority",
                 &policy::mPriority,
@@ -30,12 +30,12 @@
   policy_value{
     "tokens_per_s",
     &policy::mTokensPerSecond,
-    { 1, kManyTokens, "tokens/s" },
+    { 1, kMaxTokenValue, "tokens/s" },
     "Tokens an organisation may spend in a second, over all entries." },
   policy_value{
     "concurrent_tokens",
     &policy::mConcurrentTokens,
-    { 1, kManyTokens, "tokens" },
+    { 1, kMaxTokenValue, "tokens" },
     "Tokens an organisation may have in flight, over all entries." },
   policy_value{ "longest_prompt_tokens",
                 &policy::mLongestPromptTokens,
@@ -56,7 +56,7 @@
   policy_value{
     "queue_wait_s",
     &policy::mQueueWaitSeconds,
-    { 0.01, kDay, "seconds" },
+    { 0.01, kSecondsPerDay, "seconds" },
     "The longest wait in one agent's queue before another is tried." },
   policy_value{
     "long_memory_part",
@@ -105,7 +105,7 @@
     "How strongly long prompts keep away from engines with short ones." },
   policy_value{ "ageing_s",
                 &policy::mAgeingSeconds,
-                { 0.1, kDay, "seconds" },
+                { 0.1, kSecondsPerDay, "seconds" },
                 "Waiting this long raises a request by one priority class." },
   policy_value{ "lease_s",
                 &policy::mLeaseSeconds,
@@ -131,17 +131,17 @@
 std::span<const policy_value>
 PolicyValues()
 {
-  return kValues;
+  return kPolicyValues;
 }
 
 const policy_value*
 FindPolicyValue(std::string_view aName)
 {
   const auto row =
-    std::find_if(kValues.begin(), kValues.end(), [&](const policy_value& aRow) {
-      return aRow.mName == aName;
-    });
-  return row == kValues.end() ? nullptr : &*row;
+    std::find_if(kPolicyValues.begin(),
+                 kPolicyValues.end(),
+                 [&](const policy_value& aRow) { return aRow.mName == aName; });
+  return row == kPolicyValues.end() ? nullptr : &*row;
 }
 
 } // namespace primrose
--- a/Libraries/LibSettings/Tree.cpp
+++ b/Libraries/LibSettings/Tree.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kHashDigits = 64;
-constexpr double kMostRevisions = 9e15;
+constexpr double kMaxRevision = 9e15;
 
 struct model_number
 {
@@ -72,7 +72,7 @@
   tree.mHash = Hash(aDocument.dump());
   object_reader reader(&aDocument, "", aProblems);
   tree.mRevision = static_cast<std::uint64_t>(
-    reader.Number("revision", { 0, kMostRevisions, "revision" }).value_or(0));
+    reader.Number("revision", { 0, kMaxRevision, "revision" }).value_or(0));
   tree.ReadValues(reader, {});
   tree.ReadModels(reader, aProblems);
   tree.ReadServices(reader, aProblems);
@@ -104,7 +104,7 @@
     }
     reader.Finish();
     for (settings_problem& problem : problems) {
-      aReader.Adopt(std::move(problem));
+      aReader.AddProblem(std::move(problem));
     }
   }
   mNodes.insert_or_assign(aPath, std::move(found));
@@ -120,7 +120,8 @@
   for (const auto& [name, node] : models->items()) {
     const std::string path = aFleet.PathOf("models/" + name);
     if (!node.is_object()) {
-      aProblems.push_back({ path, "expected an object, found " + Shown(node) });
+      aProblems.push_back(
+        { path, "expected an object, found " + DescribeValue(node) });
       continue;
     }
     object_reader reader(&node, path, aProblems);
@@ -145,7 +146,8 @@
   for (const auto& [name, node] : services->items()) {
     const std::string path = aFleet.PathOf("services/" + name);
     if (!node.is_object()) {
-      aProblems.push_back({ path, "expected an object, found " + Shown(node) });
+      aProblems.push_back(
+        { path, "expected an object, found " + DescribeValue(node) });
       continue;
     }
     object_reader reader(&node, path, aProblems);
@@ -181,7 +183,8 @@
 {
   const std::string path = "/organisations/" + aName;
   if (!aNode.is_object()) {
-    aProblems.push_back({ path, "expected an object, found " + Shown(aNode) });
+    aProblems.push_back(
+      { path, "expected an object, found " + DescribeValue(aNode) });
     return;
   }
   object_reader reader(&aNode, path, aProblems);
@@ -208,7 +211,7 @@
 {
   if (!aNode.is_object()) {
     aProblems.push_back(
-      { aWhere, "expected an object, found " + Shown(aNode) });
+      { aWhere, "expected an object, found " + DescribeValue(aNode) });
     return;
   }
   object_reader reader(&aNode, aWhere, aProblems);
@@ -222,7 +225,7 @@
     const std::string where = fmt::format("{}/workloads/{}", aWhere, name);
     if (!node.is_object()) {
       aProblems.push_back(
-        { where, "expected an object, found " + Shown(node) });
+        { where, "expected an object, found " + DescribeValue(node) });
       continue;
     }
     object_reader workload(&node, where, aProblems);
--- a/Services/Agent/AgentServer.cpp
+++ b/Services/Agent/AgentServer.cpp
@@ -15,7 +15,7 @@
     , mRole(aReservation.mRole)
   {
   }
-  ~ticket() noexcept(false) { mService.ReleaseGranted(mAttempt); }
+  ~ticket() noexcept(false) { mService.ReleaseReservation(mAttempt); }
   ticket(const ticket&) = delete;
   ticket& operator=(const ticket&) = delete;
 
@@ -43,7 +43,7 @@
 
   kj::Promise<void> renew(RenewContext aContext) override
   {
-    aContext.getResults().setHeld(mService.RenewGranted(mAttempt));
+    aContext.getResults().setHeld(mService.RenewReservation(mAttempt));
     return kj::READY_NOW;
   }
 
@@ -52,7 +52,7 @@
     // What was never started cannot start any more: the ticket is used up.
     const ran_state ran = mStarted ? ran_state::Unknown : ran_state::No;
     mStarted = true;
-    mService.ReleaseGranted(mAttempt);
+    mService.ReleaseReservation(mAttempt);
     aContext.getResults().setRan(ToWire(ran));
     return kj::READY_NOW;
   }
@@ -67,7 +67,7 @@
   kj::Promise<stream_end> Work(StartContext& aContext)
   {
     if (mRole == hold_role::Member) {
-      return mService.HoldGranted(mAttempt);
+      return mService.HoldMemberMemory(mAttempt);
     }
     const wire::Work::Reader work = aContext.getParams().getWork();
     engine_request request;
@@ -79,7 +79,7 @@
     const std::shared_ptr<wire::ChunkSink::Client> sink =
       std::make_shared<wire::ChunkSink::Client>(aContext.getParams().getSink());
     aContext.releaseParams();
-    return mService.RunGranted(
+    return mService.RunOnEngine(
       mAttempt,
       std::move(request),
       [sink, attempt = mAttempt](std::uint64_t aIndex, std::string aText) {
@@ -98,9 +98,9 @@
 };
 
 reservation
-ReservationFrom(wire::Reservation::Reader aWire, time_point aNow)
+DecodeReservation(wire::Reservation::Reader aWire, time_point aNow)
 {
-  constexpr double kSmallestWeight = 0.01;
+  constexpr double kMinReservationWeight = 0.01;
   reservation read;
   read.mRequest = TextFrom(aWire.getRequest());
   read.mAttempt = TextFrom(aWire.getAttempt());
@@ -110,12 +110,13 @@
   read.mWaitUntil = aNow + RemainingFromWire(aWire.getWaitMs());
   read.mLease = RemainingFromWire(aWire.getLeaseMs());
   const double weight = aWire.getWeight();
-  read.mWeight = weight >= kSmallestWeight ? weight : kSmallestWeight;
+  read.mWeight =
+    weight >= kMinReservationWeight ? weight : kMinReservationWeight;
   return read;
 }
 
 service_call
-CallFrom(wire::Call::Reader aWire, time_point aNow)
+DecodeServiceCall(wire::Call::Reader aWire, time_point aNow)
 {
   service_call call;
   call.mRequest = TextFrom(aWire.getRequest());
@@ -133,7 +134,7 @@
 }
 
 void
-FillAnswer(const service_answer& aAnswer, wire::CallAnswer::Builder aWire)
+EncodeCallAnswer(const service_answer& aAnswer, wire::CallAnswer::Builder aWire)
 {
   aWire.setStatus(static_cast<std::uint16_t>(aAnswer.mStatus));
   aWire.setContentType(aAnswer.mContentType);
@@ -167,7 +168,7 @@
     // Cancellable: an entry that gives up, or dies, frees its place at once.
     aContext.allowCancellation();
     const reservation asked =
-      ReservationFrom(aContext.getParams().getReservation(), mService.Now());
+      DecodeReservation(aContext.getParams().getReservation(), mService.Now());
     return mService.Reserve(asked).then(
       [this, aContext, asked](refusal aRefusal) mutable {
         aContext.getResults().setRefusal(ToWire(aRefusal));
@@ -180,15 +181,15 @@
   kj::Promise<void> call(CallContext aContext) override
   {
     aContext.allowCancellation();
-    if (mService.IsLeaving()) {
+    if (mService.IsDraining()) {
       aContext.getResults().initAnswer().setRefusal(wire::Refusal::LEAVING);
       return kj::READY_NOW;
     }
     service_call call =
-      CallFrom(aContext.getParams().getCall(), mService.Now());
+      DecodeServiceCall(aContext.getParams().getCall(), mService.Now());
     return mService.Call(std::move(call))
       .then([aContext](service_answer aAnswer) mutable {
-        FillAnswer(aAnswer, aContext.getResults().initAnswer());
+        EncodeCallAnswer(aAnswer, aContext.getResults().initAnswer());
       });
   }
 
@@ -221,7 +222,7 @@
   kj::Promise<void> open(OpenContext aContext) override
   {
     const std::string caller = TextFrom(aContext.getParams().getCaller());
-    if (!mService.KeyFits(TextFrom(aContext.getParams().getKey()))) {
+    if (!mService.IsRpcKeyValid(TextFrom(aContext.getParams().getKey()))) {
       Log(log_level::Warning, "rpc_key_refused", { { "caller", caller } });
       return KJ_EXCEPTION(FAILED, "the RPC key is wrong");
     }
--- a/Services/Agent/AgentService.cpp
+++ b/Services/Agent/AgentService.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr duration kLookInterval = std::chrono::milliseconds(500);
+constexpr duration kEnginePollInterval = std::chrono::milliseconds(500);
 constexpr duration kReconcileInterval = std::chrono::seconds(1);
 /// Looks without an answer before the engine counts as down: one lost answer
 /// must not empty an engine's queue.
-constexpr unsigned kSilentLooks = 3;
+constexpr unsigned kMissedPollsUntilDown = 3;
 /// Looks at which a stranger must be seen before it is cancelled: a stream can
 /// be new here while the list was on its way.
-constexpr unsigned kStrangerLooks = 3;
-constexpr unsigned kEnginePriorities = 4;
+constexpr unsigned kOrphanSightingsBeforeCancel = 3;
+constexpr unsigned kLongPromptPriorityOffset = 4;
 
 } // namespace
 
@@ -46,41 +46,41 @@
 {
   if (mSettings.mIsEngine) {
     mBoard.mEngineUp = false;
-    mTasks.add(WatchEngine());
+    mTasks.add(PollEngine());
     mTasks.add(Reconcile());
   }
 }
 
 kj::Promise<void>
-agent_service::WatchEngine()
+agent_service::PollEngine()
 {
   return mEngine.Steps()
     .then([this](std::optional<std::uint64_t> aSteps) {
-      TakeSteps(aSteps);
-      return mEngine.CachedSince(mEventNumber);
+      ApplyEnginePoll(aSteps);
+      return mEngine.FetchCachedPrefixes(mEventNumber);
     })
     .then([this](std::vector<std::uint64_t> aMarks) {
       for (const std::uint64_t mark : aMarks) {
         // Events come late and with gaps; they only add to what we saw.
         mBoard.mCache.Insert({ mark });
       }
-      return Delay(kLookInterval);
+      return Delay(kEnginePollInterval);
     })
-    .then([this]() { return WatchEngine(); });
+    .then([this]() { return PollEngine(); });
 }
 
 void
-agent_service::TakeSteps(std::optional<std::uint64_t> aSteps)
+agent_service::ApplyEnginePoll(std::optional<std::uint64_t> aSteps)
 {
   if (!aSteps) {
-    ++mSilentLooks;
-    if (mSilentLooks == kSilentLooks && mBoard.mEngineUp) {
+    ++mMissedPolls;
+    if (mMissedPolls == kMissedPollsUntilDown && mBoard.mEngineUp) {
       mBoard.mEngineUp = false;
-      Log(log_level::Error, "engine_down", { { "looks", mSilentLooks } });
+      Log(log_level::Error, "engine_down", { { "looks", mMissedPolls } });
     }
     return;
   }
-  mSilentLooks = 0;
+  mMissedPolls = 0;
   const bool restarted = *aSteps < mSteps;
   mSteps = *aSteps;
   if (restarted) {
@@ -91,7 +91,7 @@
     mBoard.mEngineUp = true;
     mBoard.mStarted = mClock.Now();
     Log(log_level::Info, "engine_up", { { "restarted", restarted } });
-    Pump();
+    DispatchWaiting();
   }
 }
 
@@ -102,7 +102,7 @@
     .then([this]() { return mEngine.List(); })
     .then([this](std::optional<std::set<std::string>> aListed) {
       if (aListed) {
-        CancelUnknown(*aListed);
+        CancelOrphans(*aListed);
       }
       return Reconcile();
     });
@@ -111,19 +111,19 @@
 /// What holds memory in the engine and is not ours was left by an agent that
 /// died here, or by a cancel that was lost; nobody else would ever free it.
 void
-agent_service::CancelUnknown(const std::set<std::string>& aListed)
+agent_service::CancelOrphans(const std::set<std::string>& aListed)
 {
   std::map<std::string, unsigned> strangers;
   for (const std::string& id : aListed) {
     if (mBoard.mWork.contains(id) || id.empty()) {
       continue;
     }
-    const auto seen = mStrangers.find(id);
-    strangers[id] = seen == mStrangers.end() ? 1 : seen->second + 1;
+    const auto seen = mOrphanSightings.find(id);
+    strangers[id] = seen == mOrphanSightings.end() ? 1 : seen->second + 1;
   }
-  mStrangers = std::move(strangers);
-  for (const auto& [id, looks] : mStrangers) {
-    if (looks >= kStrangerLooks) {
+  mOrphanSightings = std::move(strangers);
+  for (const auto& [id, looks] : mOrphanSightings) {
+    if (looks >= kOrphanSightingsBeforeCancel) {
       Log(log_level::Warning, "stranger_cancelled", { { "attempt", id } });
       mMetrics.Count("primrose_strangers_cancelled_total");
       CancelAtEngine(id);
@@ -143,7 +143,7 @@
 }
 
 bool
-agent_service::KeyFits(const std::string& aKey) const
+agent_service::IsRpcKeyValid(const std::string& aKey) const
 {
   return KeyHash(aKey) == KeyHash(mSettings.mRpcKey);
 }
@@ -174,18 +174,18 @@
   kj::PromiseFulfillerPair<refusal> pair =
     kj::newPromiseAndFulfiller<refusal>();
   mWaiting.insert_or_assign(attempt, kj::mv(pair.fulfiller));
-  Pump();
+  DispatchWaiting();
   return pair.promise.attach(kj::defer([this, attempt]() {
     if (mWaiting.erase(attempt) > 0) {
       // The entry went away, or gave up, while its work waited.
       Release(mBoard, attempt, mClock.Now());
-      Pump();
+      DispatchWaiting();
     }
   }));
 }
 
 void
-agent_service::Pump()
+agent_service::DispatchWaiting()
 {
   for (const std::string& attempt : Dispatch(mBoard, mClock.Now())) {
     const auto waiting = mWaiting.find(attempt);
@@ -217,12 +217,14 @@
   }
   mTimer =
     Delay(sleep)
-      .then([this]() { mTasks.add(kj::evalLater([this]() { EndExpired(); })); })
+      .then([this]() {
+        mTasks.add(kj::evalLater([this]() { EndExpiredReservations(); }));
+      })
       .eagerlyEvaluate(nullptr);
 }
 
 void
-agent_service::EndExpired()
+agent_service::EndExpiredReservations()
 {
   for (const expired_work& item : Expire(mBoard, mClock.Now())) {
     Log(log_level::Warning,
@@ -240,24 +242,24 @@
       waiting->second->fulfill(kj::cp(why));
       mWaiting.erase(waiting);
     }
-    const auto abort = mAborts.find(item.mAttempt);
-    if (abort != mAborts.end()) {
+    const auto abort = mAbortFulfillers.find(item.mAttempt);
+    if (abort != mAbortFulfillers.end()) {
       stream_end end;
       end.mRan = ran_state::Unknown;
       end.mProblem = std::string(ExpiryName(item.mCause));
       abort->second->fulfill(kj::mv(end));
     }
-    if (mGiven.erase(item.mAttempt) > 0) {
+    if (mSubmittedAttempts.erase(item.mAttempt) > 0) {
       CancelAtEngine(item.mAttempt);
     }
   }
-  Pump();
+  DispatchWaiting();
 }
 
 kj::Promise<stream_end>
-agent_service::RunGranted(const std::string& aAttempt,
-                          engine_request aRequest,
-                          engine_link::chunk_handler aHandler)
+agent_service::RunOnEngine(const std::string& aAttempt,
+                           engine_request aRequest,
+                           engine_client::chunk_handler aHandler)
 {
   if (!StartReading(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
@@ -269,23 +271,24 @@
   aRequest.mMaxTokens = shape.mMaxTokens;
   // Short prompts are read before long ones, whatever their class: a long
   // prompt loses little by it, a short one would lose all.
-  aRequest.mPriority = shape.mPriority + (shape.mLong ? kEnginePriorities : 0);
-  mGiven.insert(aAttempt);
+  aRequest.mPriority =
+    shape.mPriority + (shape.mLong ? kLongPromptPriorityOffset : 0);
+  mSubmittedAttempts.insert(aAttempt);
   kj::PromiseFulfillerPair<stream_end> abort =
     kj::newPromiseAndFulfiller<stream_end>();
-  mAborts.insert_or_assign(aAttempt, kj::mv(abort.fulfiller));
-  const engine_link::chunk_handler noting =
+  mAbortFulfillers.insert_or_assign(aAttempt, kj::mv(abort.fulfiller));
+  const engine_client::chunk_handler noting =
     [this, aAttempt, aHandler](std::uint64_t aIndex, std::string aText) {
       if (aIndex == 0) {
         NoteFirstToken(mBoard, aAttempt, mClock.Now());
-        Pump();
+        DispatchWaiting();
       }
       return aHandler(aIndex, std::move(aText));
     };
   return mEngine.Run(std::move(aRequest), noting)
     .then([this, aAttempt](stream_end aEnd) {
       if (aEnd.mComplete || aEnd.mRan == ran_state::No) {
-        mGiven.erase(aAttempt);
+        mSubmittedAttempts.erase(aAttempt);
       }
       if (aEnd.mUnreachable && mBoard.mEngineUp) {
         // Refused until a look succeeds: the regular looks would notice only
@@ -296,11 +299,12 @@
       return aEnd;
     })
     .exclusiveJoin(kj::mv(abort.promise))
-    .attach(kj::defer([this, aAttempt]() { mAborts.erase(aAttempt); }));
+    .attach(
+      kj::defer([this, aAttempt]() { mAbortFulfillers.erase(aAttempt); }));
 }
 
 kj::Promise<stream_end>
-agent_service::HoldGranted(const std::string& aAttempt)
+agent_service::HoldMemberMemory(const std::string& aAttempt)
 {
   if (!StartReading(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
@@ -308,7 +312,7 @@
     return end;
   }
   const tokens need = mBoard.mWork.at(aAttempt).mReservation.mShape.Need();
-  mGiven.insert(aAttempt);
+  mSubmittedAttempts.insert(aAttempt);
   return mEngine.Hold(aAttempt, need).then([this, aAttempt](bool aHeld) {
     stream_end end;
     end.mComplete = aHeld;
@@ -319,19 +323,19 @@
 }
 
 bool
-agent_service::RenewGranted(const std::string& aAttempt)
+agent_service::RenewReservation(const std::string& aAttempt)
 {
   return Renew(mBoard, aAttempt, mClock.Now());
 }
 
 void
-agent_service::ReleaseGranted(const std::string& aAttempt)
+agent_service::ReleaseReservation(const std::string& aAttempt)
 {
-  if (mGiven.erase(aAttempt) > 0) {
+  if (mSubmittedAttempts.erase(aAttempt) > 0) {
     CancelAtEngine(aAttempt);
   }
   Release(mBoard, aAttempt, mClock.Now());
-  Pump();
+  DispatchWaiting();
 }
 
 kj::Promise<service_answer>
@@ -369,7 +373,7 @@
 agent_service::CheckDrained()
 {
   const bool over =
-    mBoard.mLeaving && InFlight() == 0 && !mCalls.HasUnwritten();
+    mBoard.mLeaving && InFlight() == 0 && !mCalls.HasUnwrittenOutcomes();
   if (!over || !mDrained) {
     return;
   }
--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -31,46 +31,47 @@
   // For the RPC servers of this agent.
   kj::Promise<refusal> Reserve(const reservation& aReservation);
   probe_answer Probe(const work_shape& aShape);
-  kj::Promise<stream_end> RunGranted(const std::string& aAttempt,
-                                     engine_request aRequest,
-                                     engine_link::chunk_handler aHandler);
-  kj::Promise<stream_end> HoldGranted(const std::string& aAttempt);
-  bool RenewGranted(const std::string& aAttempt);
+  kj::Promise<stream_end> RunOnEngine(const std::string& aAttempt,
+                                      engine_request aRequest,
+                                      engine_client::chunk_handler aHandler);
+  kj::Promise<stream_end> HoldMemberMemory(const std::string& aAttempt);
+  bool RenewReservation(const std::string& aAttempt);
   /// Frees the attempt and cancels it at the engine if it was given to it.
-  void ReleaseGranted(const std::string& aAttempt);
+  void ReleaseReservation(const std::string& aAttempt);
   kj::Promise<service_answer> Call(service_call aCall);
   time_point Now() const { return mClock.Now(); }
   const std::string& EngineAddress() const { return mEngine.Address(); }
-  bool KeyFits(const std::string& aKey) const;
-  bool IsLeaving() const { return mBoard.mLeaving; }
+  bool IsRpcKeyValid(const std::string& aKey) const;
+  bool IsDraining() const { return mBoard.mLeaving; }
 
 private:
-  void Pump();
+  void DispatchWaiting();
   void SetExpiryTimer();
-  void EndExpired();
+  void EndExpiredReservations();
   void CheckDrained();
-  kj::Promise<void> WatchEngine();
+  kj::Promise<void> PollEngine();
   kj::Promise<void> Reconcile();
-  void TakeSteps(std::optional<std::uint64_t> aSteps);
-  void CancelUnknown(const std::set<std::string>& aListed);
+  void ApplyEnginePoll(std::optional<std::uint64_t> aSteps);
+  void CancelOrphans(const std::set<std::string>& aListed);
   void CancelAtEngine(const std::string& aAttempt);
 
   const clock_source& mClock;
   node_settings mSettings;
   metrics mMetrics;
   http_client mHttp;
-  engine_link mEngine;
+  engine_client mEngine;
   table_client mStore;
   guarded_calls mCalls;
   agent_board mBoard;
   std::function<void()> mDrained;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<refusal>>> mWaiting;
-  std::map<std::string, kj::Own<kj::PromiseFulfiller<stream_end>>> mAborts;
+  std::map<std::string, kj::Own<kj::PromiseFulfiller<stream_end>>>
+    mAbortFulfillers;
   /// Streams given to the engine, until the engine has ended them.
-  std::set<std::string> mGiven;
+  std::set<std::string> mSubmittedAttempts;
   /// Ids seen at the engine that are not ours, with the number of looks.
-  std::map<std::string, unsigned> mStrangers;
-  unsigned mSilentLooks = 0;
+  std::map<std::string, unsigned> mOrphanSightings;
+  unsigned mMissedPolls = 0;
   std::uint64_t mSteps = 0;
   std::uint64_t mEventNumber = 0;
   kj::Maybe<kj::Promise<void>> mTimer;
--- a/Services/Agent/EngineLink.cpp
+++ b/Services/Agent/EngineLink.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr duration kAnswerLimit = std::chrono::seconds(2);
-constexpr unsigned kMostResumes = 3;
+constexpr duration kEngineCallTimeout = std::chrono::seconds(2);
+constexpr unsigned kMaxResumes = 3;
 constexpr std::size_t kLargestAnswer = std::size_t{ 4 } * 1024 * 1024;
 constexpr std::string_view kDone = "[DONE]";
 constexpr unsigned kGood = 200;
@@ -17,7 +17,7 @@
 } // namespace
 
 /// A prompt that is being run: what came so far and where to go on.
-struct engine_link::run
+struct engine_client::run
 {
   engine_request mRequest;
   chunk_handler mHandler;
@@ -27,7 +27,7 @@
   unsigned mResumes = 0;
 };
 
-engine_link::engine_link(http_client& aHttp, std::string aAddress)
+engine_client::engine_client(http_client& aHttp, std::string aAddress)
   : mHttp(aHttp)
   , mAddress(std::move(aAddress))
   , mUrl("http://" + mAddress)
@@ -35,7 +35,7 @@
 }
 
 kj::Promise<stream_end>
-engine_link::Run(engine_request aRequest, chunk_handler aHandler)
+engine_client::Run(engine_request aRequest, chunk_handler aHandler)
 {
   http_request request{ "POST", mUrl + "/v1/completions" };
   request.mBody = json{
@@ -63,7 +63,7 @@
           return state->mEnd;
         }
         state->mStream = kj::mv(aStream);
-        return ReadOn(kj::mv(state));
+        return ReadNextEvents(kj::mv(state));
       },
       [](kj::Exception&& aException) -> kj::Promise<stream_end> {
         stream_end end;
@@ -75,7 +75,7 @@
 }
 
 kj::Promise<stream_end>
-engine_link::ReadOn(kj::Own<run> aRun)
+engine_client::ReadNextEvents(kj::Own<run> aRun)
 {
   run& state = *aRun;
   return state.mStream->Read()
@@ -92,18 +92,18 @@
         own->mEnd.mProblem = events.mFailure.mMessage;
         return own->mEnd;
       }
-      return TakeEvents(kj::mv(own), std::move(*events.mValue), 0);
+      return DeliverEvents(kj::mv(own), std::move(*events.mValue), 0);
     });
 }
 
 kj::Promise<stream_end>
-engine_link::TakeEvents(kj::Own<run> aRun,
-                        std::vector<std::string> aEvents,
-                        std::size_t aNext)
+engine_client::DeliverEvents(kj::Own<run> aRun,
+                             std::vector<std::string> aEvents,
+                             std::size_t aNext)
 {
   stream_end& end = aRun->mEnd;
   if (aNext == aEvents.size()) {
-    return ReadOn(kj::mv(aRun));
+    return ReadNextEvents(kj::mv(aRun));
   }
   if (aEvents[aNext] == kDone) {
     end.mComplete = end.mChunks > 0;
@@ -120,7 +120,7 @@
   const std::uint64_t index = event["index"].get<std::uint64_t>();
   if (index < end.mChunks) {
     // After a resume an engine may repeat what was delivered already.
-    return TakeEvents(kj::mv(aRun), std::move(aEvents), aNext + 1);
+    return DeliverEvents(kj::mv(aRun), std::move(aEvents), aNext + 1);
   }
   if (index > end.mChunks) {
     end.mProblem = "the engine left out a part of the answer";
@@ -131,17 +131,17 @@
   return aRun->mHandler(index, event["text"].get<std::string>())
     .then(
       [this, own = kj::mv(aRun), events = std::move(aEvents), aNext]() mutable {
-        return TakeEvents(kj::mv(own), std::move(events), aNext + 1);
+        return DeliverEvents(kj::mv(own), std::move(events), aNext + 1);
       });
 }
 
 kj::Promise<stream_end>
-engine_link::Resume(kj::Own<run> aRun)
+engine_client::Resume(kj::Own<run> aRun)
 {
   run& state = *aRun;
   state.mStream = nullptr;
   state.mParser = sse_parser();
-  if (state.mResumes == kMostResumes) {
+  if (state.mResumes == kMaxResumes) {
     state.mEnd.mProblem = "the stream broke too often";
     return state.mEnd;
   }
@@ -167,7 +167,7 @@
       KJ_IF_MAYBE (stream, aStream) {
         if ((*stream)->Status() == kGood) {
           own->mStream = kj::mv(*stream);
-          return ReadOn(kj::mv(own));
+          return ReadNextEvents(kj::mv(own));
         }
       }
       own->mEnd.mProblem = "the engine lost the stream";
@@ -176,11 +176,11 @@
 }
 
 kj::Promise<std::optional<json>>
-engine_link::GetJson(const std::string& aPath)
+engine_client::GetJson(const std::string& aPath)
 {
   return WithTimeout(
            mHttp.Send(http_request{ "GET", mUrl + aPath }, kLargestAnswer),
-           kAnswerLimit)
+           kEngineCallTimeout)
     .then([](http_response aResponse) -> std::optional<json> {
       json body = json::parse(aResponse.mBody, nullptr, false);
       if (aResponse.mStatus != kGood || !body.is_object()) {
@@ -193,30 +193,30 @@
 }
 
 kj::Promise<bool>
-engine_link::PostJson(const std::string& aPath, const json& aBody)
+engine_client::PostJson(const std::string& aPath, const json& aBody)
 {
   http_request request{ "POST", mUrl + aPath };
   request.mBody = aBody.dump();
   return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
-                     kAnswerLimit)
+                     kEngineCallTimeout)
     .then([](http_response aResponse) { return aResponse.mStatus == kGood; })
     .catch_([](kj::Exception&&) { return false; });
 }
 
 kj::Promise<bool>
-engine_link::Cancel(const std::string& aId)
+engine_client::Cancel(const std::string& aId)
 {
   return PostJson("/v1/streams/cancel", { { "id", aId } });
 }
 
 kj::Promise<bool>
-engine_link::Hold(const std::string& aId, tokens aTokens)
+engine_client::Hold(const std::string& aId, tokens aTokens)
 {
   return PostJson("/v1/kv/hold", { { "id", aId }, { "tokens", aTokens } });
 }
 
 kj::Promise<std::optional<std::set<std::string>>>
-engine_link::List()
+engine_client::List()
 {
   return GetJson("/v1/streams")
     .then(
@@ -235,7 +235,7 @@
 }
 
 kj::Promise<std::optional<std::uint64_t>>
-engine_link::Steps()
+engine_client::Steps()
 {
   return GetJson("/v1/load")
     .then([](std::optional<json> aBody) -> std::optional<std::uint64_t> {
@@ -247,7 +247,7 @@
 }
 
 kj::Promise<std::vector<std::uint64_t>>
-engine_link::CachedSince(std::uint64_t& aNumber)
+engine_client::FetchCachedPrefixes(std::uint64_t& aNumber)
 {
   return GetJson(fmt::format("/v1/events?after={}", aNumber))
     .then([&aNumber](std::optional<json> aBody) {
--- a/Services/Agent/EngineLink.h
+++ b/Services/Agent/EngineLink.h
@@ -36,7 +36,7 @@
   bool operator==(const stream_end&) const = default;
 };
 
-class engine_link
+class engine_client
 {
 public:
   /// Takes each chunk in order; the stream is read on when the promise
@@ -44,7 +44,7 @@
   using chunk_handler =
     std::function<kj::Promise<void>(std::uint64_t, std::string)>;
 
-  engine_link(http_client& aHttp, std::string aAddress);
+  engine_client(http_client& aHttp, std::string aAddress);
 
   /// Runs a prompt. A stream that breaks is resumed where it broke, as long as
   /// the engine still has it. Never fails; the end says what happened.
@@ -58,16 +58,17 @@
   kj::Promise<std::optional<std::uint64_t>> Steps();
   /// The prefixes that the engine says it cached after an event number; the
   /// number is moved on.
-  kj::Promise<std::vector<std::uint64_t>> CachedSince(std::uint64_t& aNumber);
+  kj::Promise<std::vector<std::uint64_t>> FetchCachedPrefixes(
+    std::uint64_t& aNumber);
 
   const std::string& Address() const { return mAddress; }
 
 private:
   struct run;
-  kj::Promise<stream_end> ReadOn(kj::Own<run> aRun);
-  kj::Promise<stream_end> TakeEvents(kj::Own<run> aRun,
-                                     std::vector<std::string> aEvents,
-                                     std::size_t aNext);
+  kj::Promise<stream_end> ReadNextEvents(kj::Own<run> aRun);
+  kj::Promise<stream_end> DeliverEvents(kj::Own<run> aRun,
+                                        std::vector<std::string> aEvents,
+                                        std::size_t aNext);
   kj::Promise<stream_end> Resume(kj::Own<run> aRun);
   kj::Promise<std::optional<json>> GetJson(const std::string& aPath);
   kj::Promise<bool> PostJson(const std::string& aPath, const json& aBody);
--- a/Services/Agent/GuardedCalls.cpp
+++ b/Services/Agent/GuardedCalls.cpp
@@ -8,11 +8,11 @@
 
 /// Room to tell the entry before its own time limit ends the request.
 constexpr duration kAnswerMargin = std::chrono::milliseconds(20);
-constexpr duration kRepeatPause = std::chrono::milliseconds(50);
+constexpr duration kClaimRetryInterval = std::chrono::milliseconds(50);
 /// How far the clocks of two VMs may be apart.
 constexpr std::int64_t kClockSkewMs = 5000;
 /// Answers over this are not kept for repeats, only that the call was done.
-constexpr std::size_t kLargestKeptBody = std::size_t{ 64 } * 1024;
+constexpr std::size_t kMaxStoredBodyBytes = std::size_t{ 64 } * 1024;
 constexpr std::size_t kLargestBody = std::size_t{ 8 } * 1024 * 1024;
 
 service_answer
@@ -94,9 +94,9 @@
             mClock.Wall());
   kj::Promise<void> settled =
     WaitForClaim(aCall.mAttempt, aCall.mDeadline - kAnswerMargin);
-  PumpStore();
+  ProcessStoreQueue();
   return settled.then([this, call = std::move(aCall)]() mutable {
-    return Settled(std::move(call));
+    return ContinueAfterClaim(std::move(call));
   });
 }
 
@@ -119,7 +119,7 @@
 }
 
 kj::Promise<service_answer>
-guarded_calls::Settled(service_call aCall)
+guarded_calls::ContinueAfterClaim(service_call aCall)
 {
   const claim* const settled = FindClaim(mBoard, aCall.mAttempt);
   if (settled == nullptr) {
@@ -141,10 +141,10 @@
         claim_row row;
         row.mStatus = aAnswer.mStatus;
         row.mContentType = aAnswer.mContentType;
-        row.mBody = aAnswer.mBody.size() <= kLargestKeptBody ? aAnswer.mBody
-                                                             : std::string();
+        row.mBody = aAnswer.mBody.size() <= kMaxStoredBodyBytes ? aAnswer.mBody
+                                                                : std::string();
         NoteRun(mBoard, attempt, std::move(row));
-        PumpStore();
+        ProcessStoreQueue();
       }
       return aAnswer;
     })
@@ -182,14 +182,15 @@
   }
   if (FindClaim(mBoard, row.mAttempt) != nullptr) {
     // The first call runs here; its answer is awaited within our time.
-    if (mClock.Now() + kRepeatPause >= aCall.mDeadline - kAnswerMargin) {
+    if (mClock.Now() + kClaimRetryInterval >= aCall.mDeadline - kAnswerMargin) {
       return FailedAnswer(error_kind::InProgress,
                           "the first call with this key is running",
                           ran_state::Unknown);
     }
-    return Delay(kRepeatPause).then([this, call = std::move(aCall)]() mutable {
-      return RunGuarded(std::move(call));
-    });
+    return Delay(kClaimRetryInterval)
+      .then([this, call = std::move(aCall)]() mutable {
+        return RunGuarded(std::move(call));
+      });
   }
   const bool over =
     mClock.Wall().time_since_epoch().count() > row.mEndsMs + kClockSkewMs;
@@ -253,11 +254,11 @@
 }
 
 void
-guarded_calls::PumpStore()
+guarded_calls::ProcessStoreQueue()
 {
   WakeWaiters();
-  WriteNow();
-  ReadNow();
+  WriteDueClaims();
+  ReadDueClaims();
   const std::optional<time_point> next = NextStoreWork(mBoard);
   if (!next) {
     mTimer = nullptr;
@@ -266,13 +267,13 @@
   mTimer = Delay(*next - mClock.Now())
              .then([this]() {
                // A task of its own: this timer is replaced by the next pump.
-               mTasks.add(kj::evalLater([this]() { PumpStore(); }));
+               mTasks.add(kj::evalLater([this]() { ProcessStoreQueue(); }));
              })
              .eagerlyEvaluate(nullptr);
 }
 
 void
-guarded_calls::WriteNow()
+guarded_calls::WriteDueClaims()
 {
   const std::vector<claim_write> writes = TakeWrites(mBoard, mClock.Now());
   if (writes.empty()) {
@@ -284,12 +285,12 @@
   mTasks.add(mStore.WriteClaims(writes).then([this](transaction_result aDone) {
     NoteWritten(
       mBoard, aDone.mOutcome, aDone.mConflicts, mClock.Now(), mRandom);
-    PumpStore();
+    ProcessStoreQueue();
   }));
 }
 
 void
-guarded_calls::ReadNow()
+guarded_calls::ReadDueClaims()
 {
   const std::vector<std::string> keys = TakeReads(mBoard, mClock.Now());
   if (keys.empty()) {
@@ -299,7 +300,7 @@
   mTasks.add(mStore.ReadClaims(keys).then(
     [this](std::optional<std::map<std::string, claim_row>> aRows) {
       NoteRead(mBoard, aRows, mClock.Now(), mRandom);
-      PumpStore();
+      ProcessStoreQueue();
     }));
 }
 
--- a/Services/Agent/GuardedCalls.h
+++ b/Services/Agent/GuardedCalls.h
@@ -59,19 +59,19 @@
   kj::Promise<service_answer> Run(service_call aCall);
   std::size_t InFlight() const { return mInFlight; }
   /// True while outcomes have not been written to the store.
-  bool HasUnwritten() const { return !mBoard.mResults.empty(); }
+  bool HasUnwrittenOutcomes() const { return !mBoard.mResults.empty(); }
 
 private:
   kj::Promise<service_answer> RunGuarded(service_call aCall);
-  kj::Promise<service_answer> Settled(service_call aCall);
+  kj::Promise<service_answer> ContinueAfterClaim(service_call aCall);
   kj::Promise<service_answer> Taken(service_call aCall);
   kj::Promise<service_answer> Send(const service_call& aCall);
   kj::Promise<void> WaitForClaim(const std::string& aAttempt,
                                  time_point aDeadline);
   service_answer NotRun(const service_call& aCall);
-  void PumpStore();
-  void WriteNow();
-  void ReadNow();
+  void ProcessStoreQueue();
+  void WriteDueClaims();
+  void ReadDueClaims();
   void WakeWaiters();
 
   const clock_source& mClock;
--- a/Services/Entry/AgentPool.cpp
+++ b/Services/Entry/AgentPool.cpp
@@ -8,14 +8,14 @@
 
 /// How often the platform's list is read. 350 entries that read it every five
 /// seconds are 70 reads a second of the platform's two thousand.
-constexpr double kLookSeconds = 5;
+constexpr double kListPollSeconds = 5;
 /// Until a first list has come, and while it is empty.
-constexpr double kFirstLookSeconds = 0.25;
+constexpr double kInitialListPollSeconds = 0.25;
 
 } // namespace
 
 agent_pool::agent_pool(const clock_source& aClock,
-                       entry_board& aBoard,
+                       entry_state& aBoard,
                        table_client& aStore)
   : mClock(aClock)
   , mBoard(aBoard)
@@ -35,26 +35,27 @@
   return mStore.ListEndpoints()
     .then([this](std::optional<std::vector<listed_endpoint>> aList) {
       if (aList) {
-        TakeList(*aList);
+        ApplyEndpointList(*aList);
       } else {
         mBoard.mMetrics.Count("primrose_list_failures_total");
       }
-      return Delay(NextLook());
+      return Delay(NextPollDelay());
     })
     .then([this]() { return Watch(); });
 }
 
 duration
-agent_pool::NextLook()
+agent_pool::NextPollDelay()
 {
-  const double mean =
-    mBoard.mDirectory.mEndpoints.empty() ? kFirstLookSeconds : kLookSeconds;
+  const double mean = mBoard.mDirectory.mEndpoints.empty()
+                        ? kInitialListPollSeconds
+                        : kListPollSeconds;
   // Jitter of half to one and a half, so that entries spread out.
   return FromSeconds(mean * (0.5 + Uniform(mBoard.mRandom)));
 }
 
 void
-agent_pool::TakeList(const std::vector<listed_endpoint>& aList)
+agent_pool::ApplyEndpointList(const std::vector<listed_endpoint>& aList)
 {
   const directory_change change =
     ApplyList(mBoard.mDirectory, aList, mClock.Now());
@@ -66,15 +67,15 @@
   }
   for (const std::string& name : change.mGone) {
     Log(log_level::Info, "endpoint_gone", { { "endpoint", name } });
-    mLinks.erase(name);
+    mAgentConnections.erase(name);
   }
 }
 
 std::shared_ptr<agent_link>
-agent_pool::Link(const std::string& aEndpoint)
+agent_pool::ConnectionTo(const std::string& aEndpoint)
 {
-  const auto known = mLinks.find(aEndpoint);
-  if (known != mLinks.end()) {
+  const auto known = mAgentConnections.find(aEndpoint);
+  if (known != mAgentConnections.end()) {
     return known->second;
   }
   const auto view = mBoard.mDirectory.mEndpoints.find(aEndpoint);
@@ -88,7 +89,7 @@
   }
   std::shared_ptr<agent_link> link = std::make_shared<agent_link>(
     *address.mValue, mBoard.mSettings.mRpcKey, mBoard.mSettings.mName);
-  mLinks.emplace(aEndpoint, link);
+  mAgentConnections.emplace(aEndpoint, link);
   return link;
 }
 
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -13,23 +13,23 @@
 {
 public:
   agent_pool(const clock_source& aClock,
-             entry_board& aBoard,
+             entry_state& aBoard,
              table_client& aStore);
 
   void Start();
   /// The connection to an endpoint's agent. Shared: a request may outlive the
   /// endpoint's row in the list.
-  std::shared_ptr<agent_link> Link(const std::string& aEndpoint);
+  std::shared_ptr<agent_link> ConnectionTo(const std::string& aEndpoint);
 
 private:
   kj::Promise<void> Watch();
-  void TakeList(const std::vector<listed_endpoint>& aList);
-  duration NextLook();
+  void ApplyEndpointList(const std::vector<listed_endpoint>& aList);
+  duration NextPollDelay();
 
   const clock_source& mClock;
-  entry_board& mBoard;
+  entry_state& mBoard;
   table_client& mStore;
-  std::map<std::string, std::shared_ptr<agent_link>> mLinks;
+  std::map<std::string, std::shared_ptr<agent_link>> mAgentConnections;
   task_failures mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -6,7 +6,7 @@
 namespace primrose::entry {
 
 call_run::call_run(const clock_source& aClock,
-                   entry_board& aBoard,
+                   entry_state& aBoard,
                    agent_pool& aPool,
                    id_maker& aIds,
                    std::shared_ptr<http_exchange> aExchange,
@@ -28,7 +28,7 @@
 }
 
 duration
-call_run::Remaining() const
+call_run::RemainingTime() const
 {
   return std::max(duration(0), mRequest.mHead.mDeadline - mClock.Now());
 }
@@ -37,11 +37,11 @@
 call_run::Run()
 {
   const std::shared_ptr<call_run> self = shared_from_this();
-  kj::Promise<void> late = Delay(Remaining()).then([this]() {
-    FinishWith({ error_kind::DeadlineExceeded,
-                 "the time limit was reached",
-                 mRan,
-                 std::nullopt });
+  kj::Promise<void> late = Delay(RemainingTime()).then([this]() {
+    FinishWithFailure({ error_kind::DeadlineExceeded,
+                        "the time limit was reached",
+                        mRan,
+                        std::nullopt });
   });
   // NOTE: A caller's hang-up does not cancel a plain call: it may have run
   // already, and its outcome is kept for the repeat of a guarded one.
@@ -77,33 +77,33 @@
   ++mAttempts;
   const std::string endpoint = Choose();
   const std::shared_ptr<agent_link> link =
-    endpoint.empty() ? nullptr : mPool.Link(endpoint);
+    endpoint.empty() ? nullptr : mPool.ConnectionTo(endpoint);
   if (link == nullptr) {
     mTried.clear();
-    return RetryOr(
+    return RetryOrFail(
       { error_kind::NoEndpoint,
         fmt::format("no endpoint serves \"{}\"", mRequest.mHead.mPath.mService),
         mRan,
         1.0 });
   }
   mTried.push_back(endpoint);
-  Record(mBoard,
-         mClock,
-         mRequest.mHead.mId,
-         decision_kind::Place,
-         fmt::format("{} by the key's order", endpoint),
-         mRequest.mHead.mPath,
-         { "attempts" });
+  RecordDecision(mBoard,
+                 mClock,
+                 mRequest.mHead.mId,
+                 decision_kind::Place,
+                 fmt::format("{} by the key's order", endpoint),
+                 mRequest.mHead.mPath,
+                 { "attempts" });
   return link->Get()
     .then([this, endpoint](wire::Agent::Client aAgent) {
       return Send(endpoint, aAgent);
     })
     .catch_([this, endpoint](kj::Exception&& aException) {
       NoteFailure(mBoard.mDirectory, endpoint, mClock.Now(), mBoard.mRandom);
-      return RetryOr({ error_kind::EndpointFailed,
-                       aException.getDescription().cStr(),
-                       mRan,
-                       std::nullopt });
+      return RetryOrFail({ error_kind::EndpointFailed,
+                           aException.getDescription().cStr(),
+                           mRan,
+                           std::nullopt });
     })
     .attach(link);
 }
@@ -123,7 +123,7 @@
   call.setBody(DataOf(mRequest.mBody));
   call.setGuarded(mRequest.mGuarded);
   call.setKey(mRequest.mKey);
-  call.setRemainingMs(RemainingToWire(Remaining()));
+  call.setRemainingMs(RemainingToWire(RemainingTime()));
   const ran_state before = mRan;
   mRan = ran_state::Unknown;
   return request.send().then(
@@ -133,7 +133,7 @@
       const wire::CallAnswer::Reader answer = aResponse.getAnswer();
       if (answer.getRefusal() == wire::Refusal::NONE) {
         NoteSuccess(mBoard.mDirectory, aEndpoint);
-        TakeAnswer(answer);
+        ReturnAnswer(answer);
         return kj::READY_NOW;
       }
       // Refused before anything was sent to the endpoint.
@@ -141,24 +141,24 @@
       if (FromWire(answer.getRefusal()) == refusal::Leaving) {
         NoteLeaving(mBoard.mDirectory, aEndpoint);
       }
-      return RetryOr({ error_kind::EndpointLeaving,
-                       "the endpoint is leaving",
-                       mRan,
-                       std::nullopt });
+      return RetryOrFail({ error_kind::EndpointLeaving,
+                           "the endpoint is leaving",
+                           mRan,
+                           std::nullopt });
     });
 }
 
 /// A call that is tried again is safe here: a guarded one by its claim row,
 /// which names the first attempt; the others by what the settings say of them.
 kj::Promise<void>
-call_run::RetryOr(failure aWhy)
+call_run::RetryOrFail(failure aWhy)
 {
   const policy& rules = mRequest.mHead.mPolicy;
   const bool canRetry = mAttempts < static_cast<unsigned>(rules.mAttempts) &&
                         SpendRetry(mBoard.mRetries);
   aWhy.mRan = mRan;
   if (!canRetry) {
-    FinishWith(std::move(aWhy));
+    FinishWithFailure(std::move(aWhy));
     return kj::READY_NOW;
   }
   mBoard.mMetrics.Count("primrose_retries_total");
@@ -168,7 +168,7 @@
 }
 
 void
-call_run::TakeAnswer(wire::CallAnswer::Reader aAnswer)
+call_run::ReturnAnswer(wire::CallAnswer::Reader aAnswer)
 {
   const std::optional<error_kind> kind =
     KindNamed(TextFrom(aAnswer.getErrorKind()));
@@ -178,19 +178,20 @@
     if (AnswerFor(*kind).mRetryable) {
       why.mRetryAfterSeconds = 1;
     }
-    FinishWith(std::move(why));
+    FinishWithFailure(std::move(why));
     return;
   }
   mOver = true;
   mBoard.mMetrics.Count(
     Labelled("primrose_calls_total", "outcome", "complete"));
-  Record(mBoard,
-         mClock,
-         mRequest.mHead.mId,
-         decision_kind::Finish,
-         fmt::format("status {}{}",
-                     aAnswer.getStatus(),
-                     aAnswer.getReplayed() ? ", the first call's answer" : ""));
+  RecordDecision(
+    mBoard,
+    mClock,
+    mRequest.mHead.mId,
+    decision_kind::Finish,
+    fmt::format("status {}{}",
+                aAnswer.getStatus(),
+                aAnswer.getReplayed() ? ", the first call's answer" : ""));
   Log(log_level::Info,
       "call_finished",
       { { "request", mRequest.mHead.mId },
@@ -208,19 +209,19 @@
 }
 
 void
-call_run::FinishWith(failure aWhy)
+call_run::FinishWithFailure(failure aWhy)
 {
   if (mOver) {
     return;
   }
   mOver = true;
-  NoteFailed(mBoard,
-             mClock,
-             mRequest.mHead.mId,
-             mRequest.mHead.mPath,
-             "primrose_calls_total",
-             "call_failed",
-             aWhy);
+  RecordRequestFailure(mBoard,
+                       mClock,
+                       mRequest.mHead.mId,
+                       mRequest.mHead.mPath,
+                       "primrose_calls_total",
+                       "call_failed",
+                       aWhy);
   mExchange->AnswerFailure(aWhy);
 }
 
--- a/Services/Entry/CallRun.h
+++ b/Services/Entry/CallRun.h
@@ -13,7 +13,7 @@
 {
 public:
   call_run(const clock_source& aClock,
-           entry_board& aBoard,
+           entry_state& aBoard,
            agent_pool& aPool,
            id_maker& aIds,
            std::shared_ptr<http_exchange> aExchange,
@@ -28,14 +28,14 @@
   kj::Promise<void> Attempt();
   kj::Promise<void> Send(const std::string& aEndpoint,
                          wire::Agent::Client aAgent);
-  kj::Promise<void> RetryOr(failure aWhy);
-  void TakeAnswer(wire::CallAnswer::Reader aAnswer);
-  void FinishWith(failure aWhy);
+  kj::Promise<void> RetryOrFail(failure aWhy);
+  void ReturnAnswer(wire::CallAnswer::Reader aAnswer);
+  void FinishWithFailure(failure aWhy);
   std::string Choose() const;
-  duration Remaining() const;
+  duration RemainingTime() const;
 
   const clock_source& mClock;
-  entry_board& mBoard;
+  entry_state& mBoard;
   agent_pool& mPool;
   id_maker& mIds;
   std::shared_ptr<http_exchange> mExchange;
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Bytes that may wait for a slow caller before its engine is held back.
-constexpr std::size_t kLargestBacklog = std::size_t{ 64 } * 1024;
-constexpr duration kBacklogPause = std::chrono::milliseconds(10);
+constexpr std::size_t kMaxUnsentBytes = std::size_t{ 64 } * 1024;
+constexpr duration kUnsentBytesPollInterval = std::chrono::milliseconds(10);
 constexpr int kRenewalsPerLease = 3;
 constexpr const char* kEventStream = "text/event-stream";
 
@@ -27,9 +27,9 @@
       return KJ_EXCEPTION(DISCONNECTED, "the request is over");
     }
     const auto parameters = aContext.getParams();
-    return run->TakeChunk(TextFrom(parameters.getAttempt()),
-                          parameters.getSequence(),
-                          TextFrom(parameters.getText()));
+    return run->ReceiveChunk(TextFrom(parameters.getAttempt()),
+                             parameters.getSequence(),
+                             TextFrom(parameters.getText()));
   }
 
 private:
@@ -37,13 +37,13 @@
 };
 
 json
-ChoiceOf(const std::string& aText, const json& aFinish)
+MakeChoice(const std::string& aText, const json& aFinish)
 {
   return { { "index", 0 }, { "text", aText }, { "finish_reason", aFinish } };
 }
 
 std::string
-LengthClass(tokens aTokens)
+PromptLengthClass(tokens aTokens)
 {
   constexpr tokens kThousand = 1000;
   if (aTokens < 4 * kThousand) {
@@ -58,7 +58,7 @@
 } // namespace
 
 completion_run::completion_run(const clock_source& aClock,
-                               entry_board& aBoard,
+                               entry_state& aBoard,
                                placer& aPlacer,
                                std::shared_ptr<http_exchange> aExchange,
                                completion_request aRequest)
@@ -80,7 +80,7 @@
 }
 
 duration
-completion_run::Remaining() const
+completion_run::RemainingTime() const
 {
   return std::max(duration(0), mRequest.mHead.mDeadline - mClock.Now());
 }
@@ -100,19 +100,19 @@
     Log(
       log_level::Info, "caller_hung_up", { { "request", mRequest.mHead.mId } });
   });
-  kj::Promise<void> late = Delay(Remaining()).then([this]() {
-    FinishWith({ error_kind::DeadlineExceeded,
-                 "the time limit was reached",
-                 mRan,
-                 std::nullopt });
+  kj::Promise<void> late = Delay(RemainingTime()).then([this]() {
+    FinishWithFailure({ error_kind::DeadlineExceeded,
+                        "the time limit was reached",
+                        mRan,
+                        std::nullopt });
   });
   return Attempt()
     .exclusiveJoin(kj::mv(late))
     .exclusiveJoin(kj::mv(gone))
     .attach(kj::defer([self]() {
       // The tickets go with the request, whatever became of it.
-      self->mLeases = nullptr;
-      self->mPlaces.clear();
+      self->mLeaseRenewal = nullptr;
+      self->mReservedEndpoints.clear();
     }));
 }
 
@@ -120,24 +120,26 @@
 completion_run::Attempt()
 {
   ++mAttempts;
-  return mPlacer.Place(mRequest, mFailed).then([this](placement aPlacement) {
-    return TakePlacement(kj::mv(aPlacement));
-  });
+  return mPlacer.Place(mRequest, mFailedEndpoints)
+    .then([this](placement aPlacement) {
+      return StartPlacedAttempt(kj::mv(aPlacement));
+    });
 }
 
 kj::Promise<void>
-completion_run::TakePlacement(placement aPlacement)
+completion_run::StartPlacedAttempt(placement aPlacement)
 {
-  if (aPlacement.mPlaces.empty()) {
-    return RetryOr(
-      aPlacement.mWhy, aPlacement.mMayRetry, aPlacement.mIsFailure);
+  if (aPlacement.mReservedEndpoints.empty()) {
+    return RetryOrFail(aPlacement.mFailureReason,
+                       aPlacement.mMayRetry,
+                       aPlacement.mUsesRetryBudget);
   }
-  mPlaces = kj::mv(aPlacement.mPlaces);
+  mReservedEndpoints = kj::mv(aPlacement.mReservedEndpoints);
   mMembers.clear();
   mText.clear();
-  mCursor = { mPlaces.front().mAttempt, 0 };
+  mCursor = { mReservedEndpoints.front().mAttempt, 0 };
   std::string names;
-  for (const place& one : mPlaces) {
+  for (const place& one : mReservedEndpoints) {
     names += (names.empty() ? "" : ",") + one.mEndpoint;
   }
   Log(log_level::Info,
@@ -145,20 +147,20 @@
       { { "request", mRequest.mHead.mId },
         { "attempt", mCursor.mAttempt },
         { "endpoint", names } });
-  mLeases = KeepLeases().eagerlyEvaluate(nullptr);
-  return StartMembers()
-    .then([this]() { return StartLead(); })
+  mLeaseRenewal = RenewLeasesPeriodically().eagerlyEvaluate(nullptr);
+  return StartMemberEngines()
+    .then([this]() { return StartLeadEngine(); })
     .catch_([this](kj::Exception&& aException) {
-      return TakeEnding(failure{ error_kind::EndpointFailed,
-                                 aException.getDescription().cStr(),
-                                 mRan,
-                                 std::nullopt },
-                        0);
+      return HandleAttemptEnd(failure{ error_kind::EndpointFailed,
+                                       aException.getDescription().cStr(),
+                                       mRan,
+                                       std::nullopt },
+                              0);
     });
 }
 
 unsigned
-completion_run::MostAttempts() const
+completion_run::MaxAttempts() const
 {
   const policy& rules = mRequest.mHead.mPolicy;
   return static_cast<unsigned>(mRequest.mShape.mLong ? rules.mLongAttempts
@@ -166,47 +168,48 @@
 }
 
 kj::Promise<void>
-completion_run::RetryOr(failure aWhy, bool aMayRetry, bool aIsFailure)
+completion_run::RetryOrFail(failure aWhy, bool aMayRetry, bool aIsFailure)
 {
-  mLeases = nullptr;
-  mPlaces.clear();
+  mLeaseRenewal = nullptr;
+  mReservedEndpoints.clear();
   const policy& rules = mRequest.mHead.mPolicy;
   // Having found no room has its own pace, the waits in the agents' queues;
   // the budget is for failures, which could come back at once and in masses.
-  const bool canRetry = aMayRetry && mDelivered == 0 &&
-                        mAttempts < MostAttempts() &&
+  const bool canRetry = aMayRetry && mDeliveredChunks == 0 &&
+                        mAttempts < MaxAttempts() &&
                         (!aIsFailure || SpendRetry(mBoard.mRetries));
   aWhy.mRan = mRan;
   if (!canRetry) {
-    FinishWith(std::move(aWhy));
+    FinishWithFailure(std::move(aWhy));
     return kj::READY_NOW;
   }
   const duration pause =
     RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
   mBoard.mMetrics.Count("primrose_retries_total");
-  Record(mBoard,
-         mClock,
-         mRequest.mHead.mId,
-         decision_kind::Retry,
-         fmt::format("attempt {} ended with {}: {}; another in {:.3f} s",
-                     mAttempts,
-                     AnswerFor(aWhy.mKind).mName,
-                     aWhy.mMessage,
-                     Seconds(pause)),
-         mRequest.mHead.mPath,
-         { "attempts", "backoff_s", "retry_budget" });
+  RecordDecision(
+    mBoard,
+    mClock,
+    mRequest.mHead.mId,
+    decision_kind::Retry,
+    fmt::format("attempt {} ended with {}: {}; another in {:.3f} s",
+                mAttempts,
+                AnswerFor(aWhy.mKind).mName,
+                aWhy.mMessage,
+                Seconds(pause)),
+    mRequest.mHead.mPath,
+    { "attempts", "backoff_s", "retry_budget" });
   return Delay(pause).then([this]() { return Attempt(); });
 }
 
 kj::Promise<void>
-completion_run::StartMembers()
+completion_run::StartMemberEngines()
 {
   kj::Vector<kj::Promise<std::string>> holds;
-  for (std::size_t i = 1; i < mPlaces.size(); ++i) {
-    auto start = mPlaces[i].mTicket.startRequest();
-    start.initWork().setRemainingMs(RemainingToWire(Remaining()));
+  for (std::size_t i = 1; i < mReservedEndpoints.size(); ++i) {
+    auto start = mReservedEndpoints[i].mTicket.startRequest();
+    start.initWork().setRemainingMs(RemainingToWire(RemainingTime()));
     holds.add(start.send().then(
-      [ticket = mPlaces[i].mTicket](
+      [ticket = mReservedEndpoints[i].mTicket](
         capnp::Response<wire::Ticket::StartResults> aResponse) mutable
       -> kj::Promise<std::string> {
         if (!aResponse.getEnding().getComplete()) {
@@ -225,12 +228,12 @@
 }
 
 kj::Promise<void>
-completion_run::StartLead()
+completion_run::StartLeadEngine()
 {
-  auto start = mPlaces.front().mTicket.startRequest();
+  auto start = mReservedEndpoints.front().mTicket.startRequest();
   wire::Work::Builder work = start.initWork();
   work.setPrompt(DataOf(mRequest.mPrompt));
-  work.setRemainingMs(RemainingToWire(Remaining()));
+  work.setRemainingMs(RemainingToWire(RemainingTime()));
   auto members = work.initMembers(static_cast<unsigned>(mMembers.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
     members.set(i, mMembers[i]);
@@ -249,10 +252,10 @@
         mRan = ran_state::Yes;
       }
       if (ending.getComplete()) {
-        return TakeEnding(std::nullopt, ending.getChunks());
+        return HandleAttemptEnd(std::nullopt, ending.getChunks());
       }
       const std::string named = TextFrom(ending.getErrorKind());
-      return TakeEnding(
+      return HandleAttemptEnd(
         failure{ KindNamed(named).value_or(error_kind::EndpointFailed),
                  TextFrom(ending.getErrorMessage()),
                  mRan,
@@ -262,47 +265,49 @@
 }
 
 kj::Promise<void>
-completion_run::TakeEnding(std::optional<failure> aProblem,
-                           std::uint64_t aChunks)
+completion_run::HandleAttemptEnd(std::optional<failure> aProblem,
+                                 std::uint64_t aChunks)
 {
   if (!aProblem) {
-    return WhenAllChunks(aChunks).then([this]() { Finish(); });
+    return WaitForAllChunks(aChunks).then([this]() { Finish(); });
   }
-  NoteFailure(
-    mBoard.mDirectory, mPlaces.front().mEndpoint, mClock.Now(), mBoard.mRandom);
+  NoteFailure(mBoard.mDirectory,
+              mReservedEndpoints.front().mEndpoint,
+              mClock.Now(),
+              mBoard.mRandom);
   Log(log_level::Warning,
       "attempt_failed",
       { { "request", mRequest.mHead.mId },
         { "attempt", mCursor.mAttempt },
-        { "endpoint", mPlaces.front().mEndpoint },
+        { "endpoint", mReservedEndpoints.front().mEndpoint },
         { "why", aProblem->mMessage } });
-  for (const place& one : mPlaces) {
-    mFailed.insert(one.mEndpoint);
+  for (const place& one : mReservedEndpoints) {
+    mFailedEndpoints.insert(one.mEndpoint);
   }
-  if (mDelivered > 0) {
+  if (mDeliveredChunks > 0) {
     aProblem->mKind = error_kind::StreamBroken;
   }
-  return RetryOr(std::move(*aProblem), true, true);
+  return RetryOrFail(std::move(*aProblem), true, true);
 }
 
 /// The agent's word that the answer is complete can overtake its last chunks,
 /// which wait for a slow caller.
 kj::Promise<void>
-completion_run::WhenAllChunks(std::uint64_t aChunks)
+completion_run::WaitForAllChunks(std::uint64_t aChunks)
 {
   if (mCursor.mNext >= aChunks) {
     return kj::READY_NOW;
   }
   mExpected = aChunks;
   kj::PromiseFulfillerPair<void> pair = kj::newPromiseAndFulfiller<void>();
-  mAllChunks = kj::mv(pair.fulfiller);
+  mAllChunksReceived = kj::mv(pair.fulfiller);
   return kj::mv(pair.promise);
 }
 
 kj::Promise<void>
-completion_run::TakeChunk(const std::string& aAttempt,
-                          std::uint64_t aSequence,
-                          std::string aText)
+completion_run::ReceiveChunk(const std::string& aAttempt,
+                             std::uint64_t aSequence,
+                             std::string aText)
 {
   const chunk_verdict verdict = AcceptChunk(mCursor, aAttempt, aSequence);
   if (mOver || verdict == chunk_verdict::Stale) {
@@ -314,44 +319,46 @@
   }
   mRan = ran_state::Yes;
   if (aSequence == 0) {
-    NoteFirstChunk();
+    RecordFirstChunk();
   }
   if (mRequest.mStream) {
     const json event = { { "id", mRequest.mHead.mId },
                          { "object", "text_completion" },
                          { "model", mRequest.mShape.mModel },
-                         { "choices", { ChoiceOf(aText, nullptr) } } };
+                         { "choices", { MakeChoice(aText, nullptr) } } };
     mExchange->Send(FormatEvent(event.dump()));
-    ++mDelivered;
+    ++mDeliveredChunks;
   } else {
     mText += aText;
   }
-  KJ_IF_MAYBE (fulfiller, mAllChunks) {
+  KJ_IF_MAYBE (fulfiller, mAllChunksReceived) {
     if (mCursor.mNext >= mExpected) {
       (*fulfiller)->fulfill();
     }
   }
-  return WhenTaken();
+  return WaitForCallerToRead();
 }
 
 /// Resolves when the caller has taken enough. Until then the agent's stream,
 /// and by it the engine's connection, stand still: a caller that does not read
 /// must not fill this process's memory.
 kj::Promise<void>
-completion_run::WhenTaken()
+completion_run::WaitForCallerToRead()
 {
-  if (mOver || mExchange->Backlog() <= kLargestBacklog) {
+  if (mOver || mExchange->Backlog() <= kMaxUnsentBytes) {
     return kj::READY_NOW;
   }
-  return Delay(kBacklogPause).then([this]() { return WhenTaken(); });
+  return Delay(kUnsentBytesPollInterval).then([this]() {
+    return WaitForCallerToRead();
+  });
 }
 
 void
-completion_run::NoteFirstChunk()
+completion_run::RecordFirstChunk()
 {
-  NoteSuccess(mBoard.mDirectory, mPlaces.front().mEndpoint);
+  NoteSuccess(mBoard.mDirectory, mReservedEndpoints.front().mEndpoint);
   mBoard.mMetrics.Observe("primrose_first_token_seconds_" +
-                            LengthClass(mRequest.mShape.mPromptTokens),
+                            PromptLengthClass(mRequest.mShape.mPromptTokens),
                           Seconds(mClock.Now() - mStarted));
   if (mRequest.mStream && !mExchange->IsStreaming()) {
     mExchange->StartStream(200, kEventStream);
@@ -359,25 +366,25 @@
 }
 
 kj::Promise<void>
-completion_run::KeepLeases()
+completion_run::RenewLeasesPeriodically()
 {
   const double lease = mRequest.mHead.mPolicy.mLeaseSeconds;
   return Delay(FromSeconds(lease / kRenewalsPerLease))
     .then([this]() {
       kj::Vector<kj::Promise<void>> renewals;
-      for (std::size_t i = 0; i < mPlaces.size(); ++i) {
-        renewals.add(RenewOne(i));
+      for (std::size_t i = 0; i < mReservedEndpoints.size(); ++i) {
+        renewals.add(RenewLease(i));
       }
       return kj::joinPromises(renewals.releaseAsArray());
     })
-    .then([this]() { return KeepLeases(); });
+    .then([this]() { return RenewLeasesPeriodically(); });
 }
 
 kj::Promise<void>
-completion_run::RenewOne(std::size_t aIndex)
+completion_run::RenewLease(std::size_t aIndex)
 {
-  auto renew = mPlaces[aIndex].mTicket.renewRequest();
-  renew.setRemainingMs(RemainingToWire(Remaining()));
+  auto renew = mReservedEndpoints[aIndex].mTicket.renewRequest();
+  renew.setRemainingMs(RemainingToWire(RemainingTime()));
   // A renewal that fails changes nothing here: the agent ends what it no
   // longer holds, and that end comes with the answer of `start`.
   return renew.send().ignoreResult().catch_([](kj::Exception&&) {});
@@ -393,14 +400,15 @@
   const double took = Seconds(mClock.Now() - mStarted);
   mBoard.mMetrics.Count(
     Labelled("primrose_requests_total", "outcome", "complete"));
-  Record(mBoard,
-         mClock,
-         mRequest.mHead.mId,
-         decision_kind::Finish,
-         fmt::format("whole answer of {} chunks in {:.3f} s, {} attempts",
-                     mCursor.mNext,
-                     took,
-                     mAttempts));
+  RecordDecision(
+    mBoard,
+    mClock,
+    mRequest.mHead.mId,
+    decision_kind::Finish,
+    fmt::format("whole answer of {} chunks in {:.3f} s, {} attempts",
+                mCursor.mNext,
+                took,
+                mAttempts));
   Log(log_level::Info,
       "request_finished",
       { { "request", mRequest.mHead.mId },
@@ -413,7 +421,7 @@
   const json body = { { "id", mRequest.mHead.mId },
                       { "object", "text_completion" },
                       { "model", mRequest.mShape.mModel },
-                      { "choices", { ChoiceOf(mText, "length") } },
+                      { "choices", { MakeChoice(mText, "length") } },
                       { "usage", usage } };
   if (!mRequest.mStream) {
     mExchange->Answer(200, "application/json", body.dump());
@@ -425,19 +433,19 @@
 }
 
 void
-completion_run::FinishWith(failure aWhy)
+completion_run::FinishWithFailure(failure aWhy)
 {
   if (mOver) {
     return;
   }
   mOver = true;
-  NoteFailed(mBoard,
-             mClock,
-             mRequest.mHead.mId,
-             mRequest.mHead.mPath,
-             "primrose_requests_total",
-             "request_failed",
-             aWhy);
+  RecordRequestFailure(mBoard,
+                       mClock,
+                       mRequest.mHead.mId,
+                       mRequest.mHead.mPath,
+                       "primrose_requests_total",
+                       "request_failed",
+                       aWhy);
   if (!mExchange->IsStreaming()) {
     mExchange->AnswerFailure(aWhy);
     return;
--- a/Services/Entry/EntryBoard.cpp
+++ b/Services/Entry/EntryBoard.cpp
@@ -5,14 +5,14 @@
 namespace primrose::entry {
 
 void
-Record(entry_board& aBoard,
-       const clock_source& aClock,
-       const std::string& aRequest,
-       decision_kind aKind,
-       std::string aText,
-       const tree_path& aPath,
-       const std::vector<std::string>& aSettings,
-       std::vector<decision_alternative> aAlternatives)
+RecordDecision(entry_state& aBoard,
+               const clock_source& aClock,
+               const std::string& aRequest,
+               decision_kind aKind,
+               std::string aText,
+               const tree_path& aPath,
+               const std::vector<std::string>& aSettings,
+               std::vector<decision_alternative> aAlternatives)
 {
   decision_record record;
   record.mKind = aKind;
@@ -33,17 +33,17 @@
 }
 
 void
-NoteFailed(entry_board& aBoard,
-           const clock_source& aClock,
-           const std::string& aRequest,
-           const tree_path& aPath,
-           std::string_view aFamily,
-           std::string_view aEvent,
-           const failure& aWhy)
+RecordRequestFailure(entry_state& aBoard,
+                     const clock_source& aClock,
+                     const std::string& aRequest,
+                     const tree_path& aPath,
+                     std::string_view aFamily,
+                     std::string_view aEvent,
+                     const failure& aWhy)
 {
   const std::string_view kind = AnswerFor(aWhy.mKind).mName;
   aBoard.mMetrics.Count(Labelled(aFamily, "outcome", kind));
-  Record(
+  RecordDecision(
     aBoard,
     aClock,
     aRequest,
--- a/Services/Entry/EntryBoard.h
+++ b/Services/Entry/EntryBoard.h
@@ -11,12 +11,12 @@
 
 namespace primrose::entry {
 
-struct entry_board
+struct entry_state
 {
   node_settings mSettings;
   settings_tree mTree;
   endpoint_directory mDirectory;
-  std::map<std::string, placement_memory> mFronts; ///< By model.
+  std::map<std::string, placement_memory> mLongPromptPools; ///< By model.
   std::map<std::string, organisation_use> mOrganisations;
   retry_budget mRetries;
   decision_log mDecisions;
@@ -28,24 +28,24 @@
 
 /// Adds a decision to the request's record, with the settings that caused it.
 void
-Record(entry_board& aBoard,
-       const clock_source& aClock,
-       const std::string& aRequest,
-       decision_kind aKind,
-       std::string aText,
-       const tree_path& aPath = {},
-       const std::vector<std::string>& aSettings = {},
-       std::vector<decision_alternative> aAlternatives = {});
+RecordDecision(entry_state& aBoard,
+               const clock_source& aClock,
+               const std::string& aRequest,
+               decision_kind aKind,
+               std::string aText,
+               const tree_path& aPath = {},
+               const std::vector<std::string>& aSettings = {},
+               std::vector<decision_alternative> aAlternatives = {});
 
 /// Counts, records and logs a request that ends with a failure. `aFamily` is
 /// the metric; `aEvent` the log's event.
 void
-NoteFailed(entry_board& aBoard,
-           const clock_source& aClock,
-           const std::string& aRequest,
-           const tree_path& aPath,
-           std::string_view aFamily,
-           std::string_view aEvent,
-           const failure& aWhy);
+RecordRequestFailure(entry_state& aBoard,
+                     const clock_source& aClock,
+                     const std::string& aRequest,
+                     const tree_path& aPath,
+                     std::string_view aFamily,
+                     std::string_view aEvent,
+                     const failure& aWhy);
 
 } // namespace primrose::entry
--- a/Services/Entry/EntryService.h
+++ b/Services/Entry/EntryService.h
@@ -27,7 +27,7 @@
   result<void> BeginCompletion(const exchange& aExchange,
                                const std::string& aId);
   result<void> BeginCall(const exchange& aExchange, const std::string& aId);
-  result<void> AdmitWork(const completion_request& aRequest);
+  result<void> AdmitCompletion(const completion_request& aRequest);
   void HandleOperator(const exchange& aExchange);
   void Explain(const exchange& aExchange, const std::string& aRequest);
   json Status() const;
@@ -36,7 +36,7 @@
 
   const clock_source& mClock;
   http_client mHttp;
-  entry_board mBoard;
+  entry_state mBoard;
   table_client mStore;
   agent_pool mPool;
   id_maker mRequestIds;
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -32,7 +32,7 @@
 };
 
 placer::placer(const clock_source& aClock,
-               entry_board& aBoard,
+               entry_state& aBoard,
                agent_pool& aPool,
                id_maker& aIds)
   : mClock(aClock)
@@ -77,13 +77,14 @@
       state->mRules.mProbes, kProbesPerMember * state->mGroup));
   }
   kj::Vector<kj::Promise<std::optional<candidate>>> probes;
-  for (const std::size_t index : ChooseToProbe(state->mNames,
-                                               shape,
-                                               state->mRules,
-                                               mBoard.mFronts[shape.mModel],
-                                               state->mGroup,
-                                               mBoard.mRandom)) {
-    probes.add(ProbeOne(state, index));
+  for (const std::size_t index :
+       ChooseToProbe(state->mNames,
+                     shape,
+                     state->mRules,
+                     mBoard.mLongPromptPools[shape.mModel],
+                     state->mGroup,
+                     mBoard.mRandom)) {
+    probes.add(ProbeAgent(state, index));
   }
   return kj::joinPromises(probes.releaseAsArray())
     .then([this, state](kj::Array<std::optional<candidate>> aAnswers) {
@@ -92,10 +93,10 @@
 }
 
 kj::Promise<std::optional<candidate>>
-placer::ProbeOne(std::shared_ptr<search> aSearch, std::size_t aIndex)
+placer::ProbeAgent(std::shared_ptr<search> aSearch, std::size_t aIndex)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.Link(name);
+  const std::shared_ptr<agent_link> link = mPool.ConnectionTo(name);
   if (link == nullptr) {
     return std::optional<candidate>();
   }
@@ -151,22 +152,24 @@
   }
   const work_shape shape =
     MemberShape(state.mRequest.mShape, state.mGroup, hold_role::Lead);
-  LearnFront(mBoard.mFronts[shape.mModel],
+  LearnFront(mBoard.mLongPromptPools[shape.mModel],
              state.mCandidates,
              shape,
              state.mRules,
              state.mEngine,
              state.mGroup,
              state.mNames.size());
-  state.mRanked = RankCandidates(
-    state.mCandidates,
-    shape,
-    state.mRules,
-    state.mEngine,
-    PacksLong(state.mRules, mBoard.mFronts[shape.mModel], state.mNames.size()));
-  RecordSearch(state);
+  state.mRanked =
+    RankCandidates(state.mCandidates,
+                   shape,
+                   state.mRules,
+                   state.mEngine,
+                   PacksLong(state.mRules,
+                             mBoard.mLongPromptPools[shape.mModel],
+                             state.mNames.size()));
+  RecordPlacementDecision(state);
   if (state.mRanked.size() < state.mGroup) {
-    return GiveReason(state);
+    return MakePlacementFailure(state);
   }
   if (state.mGroup > 1) {
     // Members are reserved in one order that all entries share. Two groups
@@ -184,7 +187,7 @@
 }
 
 void
-placer::RecordSearch(const search& aSearch)
+placer::RecordPlacementDecision(const search& aSearch)
 {
   std::vector<decision_alternative> alternatives;
   for (const candidate& one : aSearch.mCandidates) {
@@ -202,52 +205,54 @@
                              one.mAnswer.mCached)
                : std::string(RefusalName(one.mAnswer.mRefusal)) });
   }
-  Record(mBoard,
-         mClock,
-         aSearch.mRequest.mHead.mId,
-         decision_kind::Place,
-         fmt::format("asked {} of {} endpoints, {} did not answer; {} wanted",
-                     aSearch.mCandidates.size() + aSearch.mSilent,
-                     aSearch.mNames.size(),
-                     aSearch.mSilent,
-                     aSearch.mGroup),
-         aSearch.mRequest.mHead.mPath,
-         { "probes", "long_prompt_tokens", "short_protection", "long_spread" },
-         std::move(alternatives));
+  RecordDecision(
+    mBoard,
+    mClock,
+    aSearch.mRequest.mHead.mId,
+    decision_kind::Place,
+    fmt::format("asked {} of {} endpoints, {} did not answer; {} wanted",
+                aSearch.mCandidates.size() + aSearch.mSilent,
+                aSearch.mNames.size(),
+                aSearch.mSilent,
+                aSearch.mGroup),
+    aSearch.mRequest.mHead.mPath,
+    { "probes", "long_prompt_tokens", "short_protection", "long_spread" },
+    std::move(alternatives));
 }
 
 kj::Promise<placement>
 placer::ReserveNext(std::shared_ptr<search> aSearch)
 {
   search& state = *aSearch;
-  if (state.mPlacement.mPlaces.size() == state.mGroup) {
+  if (state.mPlacement.mReservedEndpoints.size() == state.mGroup) {
     return kj::mv(state.mPlacement);
   }
   const std::size_t left = state.mRanked.size() - state.mNext;
-  const std::size_t missing = state.mGroup - state.mPlacement.mPlaces.size();
+  const std::size_t missing =
+    state.mGroup - state.mPlacement.mReservedEndpoints.size();
   if (left < missing) {
     // All or nothing: dropping the tickets frees what was reserved.
-    state.mPlacement.mPlaces.clear();
-    return GiveReason(state);
+    state.mPlacement.mReservedEndpoints.clear();
+    return MakePlacementFailure(state);
   }
   const std::size_t index = state.mRanked[state.mNext++].mIndex;
   hold_role role = hold_role::Whole;
   if (state.mGroup > 1) {
-    role =
-      state.mPlacement.mPlaces.empty() ? hold_role::Lead : hold_role::Member;
+    role = state.mPlacement.mReservedEndpoints.empty() ? hold_role::Lead
+                                                       : hold_role::Member;
   }
-  return ReserveOne(aSearch, index, role).then([this, aSearch]() {
+  return ReserveAgent(aSearch, index, role).then([this, aSearch]() {
     return ReserveNext(aSearch);
   });
 }
 
 kj::Promise<void>
-placer::ReserveOne(std::shared_ptr<search> aSearch,
-                   std::size_t aIndex,
-                   hold_role aRole)
+placer::ReserveAgent(std::shared_ptr<search> aSearch,
+                     std::size_t aIndex,
+                     hold_role aRole)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.Link(name);
+  const std::shared_ptr<agent_link> link = mPool.ConnectionTo(name);
   if (link == nullptr) {
     return kj::READY_NOW;
   }
@@ -280,7 +285,7 @@
             capnp::Response<wire::Agent::ReserveResults> aResponse) {
       const refusal answer = FromWire(aResponse.getRefusal());
       if (answer == refusal::None) {
-        aSearch->mPlacement.mPlaces.push_back(
+        aSearch->mPlacement.mReservedEndpoints.push_back(
           { name, attempt, aResponse.getTicket(), link });
         return;
       }
@@ -296,14 +301,14 @@
 }
 
 placement
-placer::GiveReason(const search& aSearch) const
+placer::MakePlacementFailure(const search& aSearch) const
 {
   placement none;
   none.mMayRetry = true;
-  none.mWhy.mRetryAfterSeconds = kRetryAfterSeconds;
+  none.mFailureReason.mRetryAfterSeconds = kRetryAfterSeconds;
   if (aSearch.mNames.empty()) {
-    none.mWhy.mKind = error_kind::NoEndpoint;
-    none.mWhy.mMessage =
+    none.mFailureReason.mKind = error_kind::NoEndpoint;
+    none.mFailureReason.mMessage =
       fmt::format("no endpoint serves \"{}\"", aSearch.mRequest.mShape.mModel);
     return none;
   }
@@ -318,20 +323,21 @@
     for (const candidate& one : aSearch.mCandidates) {
       first = std::min(first, one.mAnswer.mFirstTokenSeconds);
     }
-    none.mWhy.mKind = error_kind::CannotMeetDeadline;
-    none.mWhy.mMessage = fmt::format(
+    none.mFailureReason.mKind = error_kind::CannotMeetDeadline;
+    none.mFailureReason.mMessage = fmt::format(
       "the first token would come in {:.1f} s, after the time limit", first);
-    none.mWhy.mRetryAfterSeconds = first;
+    none.mFailureReason.mRetryAfterSeconds = first;
     none.mMayRetry = false;
     return none;
   }
   const bool silentOnly = aSearch.mRefusals.empty();
-  none.mIsFailure = silentOnly;
-  none.mWhy.mKind =
+  none.mUsesRetryBudget = silentOnly;
+  none.mFailureReason.mKind =
     silentOnly ? error_kind::EndpointFailed : error_kind::Overloaded;
-  none.mWhy.mMessage = fmt::format("{} endpoints refused, {} did not answer",
-                                   aSearch.mRefusals.size(),
-                                   aSearch.mSilent);
+  none.mFailureReason.mMessage =
+    fmt::format("{} endpoints refused, {} did not answer",
+                aSearch.mRefusals.size(),
+                aSearch.mSilent);
   return none;
 }
 
--- a/Services/Entry/Placer.h
+++ b/Services/Entry/Placer.h
@@ -25,20 +25,20 @@
 /// Places for one request: one, or the members of a group with the lead first.
 struct placement
 {
-  std::vector<place> mPlaces;
-  /// Why there is none; only read when `mPlaces` is empty.
-  failure mWhy;
+  std::vector<place> mReservedEndpoints;
+  /// Why there is none; only read when `mReservedEndpoints` is empty.
+  failure mFailureReason;
   /// True if trying again elsewhere or later may help.
   bool mMayRetry = false;
   /// Agents failed, rather than had no room: trying again costs of the budget.
-  bool mIsFailure = true;
+  bool mUsesRetryBudget = true;
 };
 
 class placer
 {
 public:
   placer(const clock_source& aClock,
-         entry_board& aBoard,
+         entry_state& aBoard,
          agent_pool& aPool,
          id_maker& aIds);
 
@@ -52,21 +52,21 @@
 private:
   struct search;
 
-  kj::Promise<std::optional<candidate>> ProbeOne(
+  kj::Promise<std::optional<candidate>> ProbeAgent(
     std::shared_ptr<search> aSearch,
     std::size_t aIndex);
   kj::Promise<placement> TakeAnswers(
     std::shared_ptr<search> aSearch,
     std::vector<std::optional<candidate>> aAnswers);
   kj::Promise<placement> ReserveNext(std::shared_ptr<search> aSearch);
-  kj::Promise<void> ReserveOne(std::shared_ptr<search> aSearch,
-                               std::size_t aIndex,
-                               hold_role aRole);
-  placement GiveReason(const search& aSearch) const;
-  void RecordSearch(const search& aSearch);
+  kj::Promise<void> ReserveAgent(std::shared_ptr<search> aSearch,
+                                 std::size_t aIndex,
+                                 hold_role aRole);
+  placement MakePlacementFailure(const search& aSearch) const;
+  void RecordPlacementDecision(const search& aSearch);
 
   const clock_source& mClock;
-  entry_board& mBoard;
+  entry_state& mBoard;
   agent_pool& mPool;
   id_maker& mIds;
 };
--- a/Tests/Unit/ParserTest.cpp
+++ b/Tests/Unit/ParserTest.cpp
@@ -12,17 +12,17 @@
 class parser_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(parser_test);
-  CPPUNIT_TEST(EventsSurviveAnyCut);
+  CPPUNIT_TEST(EventsAreParsedAcrossChunkBoundaries);
   CPPUNIT_TEST(OversizedEventIsRefused);
-  CPPUNIT_TEST(AnyBytesAreParsedOrRefused);
+  CPPUNIT_TEST(ArbitraryBytesAreParsedOrRejected);
   CPPUNIT_TEST(DeepNestingIsRefused);
-  CPPUNIT_TEST(WrongTypesHaveTheirKind);
-  CPPUNIT_TEST(AddressesMustBeNumbers);
-  CPPUNIT_TEST(ClaimRowsComeBackEqual);
+  CPPUNIT_TEST(WrongTypesHaveTheirErrorKind);
+  CPPUNIT_TEST(AddressesMustBeNumeric);
+  CPPUNIT_TEST(ClaimRowsSurviveRoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void EventsSurviveAnyCut()
+  void EventsAreParsedAcrossChunkBoundaries()
   {
     const bool held = rc::check("cuts", []() {
       const std::vector<std::string> sent =
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT(refused);
   }
 
-  void AnyBytesAreParsedOrRefused()
+  void ArbitraryBytesAreParsedOrRejected()
   {
     const bool held = rc::check("bytes", []() {
       const std::string bytes = *rc::gen::arbitrary<std::string>();
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(body.mFailure.mKind == error_kind::MalformedJson);
   }
 
-  void WrongTypesHaveTheirKind()
+  void WrongTypesHaveTheirErrorKind()
   {
     const json body = json::parse(
       R"({"text":1,"number":"x","big":18446744073709551615,"half":1.5})");
@@ -108,7 +108,7 @@
                    }) == error_kind::WrongType);
   }
 
-  void AddressesMustBeNumbers()
+  void AddressesMustBeNumeric()
   {
     const auto good = [](const std::string& aText) {
       return bool(Capture<ip_address>([&]() { return ParseAddress(aText); }));
@@ -125,7 +125,7 @@
     }
   }
 
-  void ClaimRowsComeBackEqual()
+  void ClaimRowsSurviveRoundTrip()
   {
     const bool held = rc::check("rows", []() {
       claim_row row;
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -29,16 +29,16 @@
 class settings_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(settings_test);
-  CPPUNIT_TEST(ChildrenOverrideAndTellWhere);
-  CPPUNIT_TEST(ProblemsNamePathExpectedFound);
+  CPPUNIT_TEST(ChildValuesOverrideAndReportOrigin);
+  CPPUNIT_TEST(ProblemsNamePathExpectedAndFoundValue);
   CPPUNIT_TEST(WrongKeyIsNotShown);
   CPPUNIT_TEST(SyntaxErrorNamesTheLine);
-  CPPUNIT_TEST(SampleTreesAreGood);
-  CPPUNIT_TEST(AnyDocumentIsReadOrRefused);
+  CPPUNIT_TEST(SampleTreesAreValid);
+  CPPUNIT_TEST(AnyDocumentIsReadOrReportsProblems);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ChildrenOverrideAndTellWhere()
+  void ChildValuesOverrideAndReportOrigin()
   {
     settings_problems problems;
     const settings_tree tree =
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(3.0, tree.Resolve(unknown).mProbes);
   }
 
-  void ProblemsNamePathExpectedFound()
+  void ProblemsNamePathExpectedAndFoundValue()
   {
     CPPUNIT_ASSERT_EQUAL(
       std::string("f: /values/porbes: unknown key; did you mean \"probes\"?"),
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(read.mFailure.mMessage.starts_with("f: line 3:"));
   }
 
-  void SampleTreesAreGood()
+  void SampleTreesAreValid()
   {
     for (const char* const name : { "hanbit", "agenzia" }) {
       const std::string file =
@@ -100,7 +100,7 @@
   }
 
   /// Whatever stands in a document, reading it ends with a tree or problems.
-  void AnyDocumentIsReadOrRefused()
+  void AnyDocumentIsReadOrReportsProblems()
   {
     const bool held = rc::check("settings", []() {
       json document = json::parse(kTree);
--- a/Utilities/Bench/Experiment.cpp
+++ b/Utilities/Bench/Experiment.cpp
@@ -158,7 +158,7 @@
     if (!good) {
       return Fail(error_kind::SettingsInvalid,
                   "/loads: expected numbers over 0 and up to 20, found " +
-                    Shown(load));
+                    DescribeValue(load));
     }
     aExperiment.mLoads.push_back(load.get<double>());
   }
--- a/Utilities/Control/SettingsCommands.cpp
+++ b/Utilities/Control/SettingsCommands.cpp
@@ -104,8 +104,9 @@
     std::cout << fmt::format("{:<8}{} {}\n",
                              change["op"].get<std::string>(),
                              change["path"].get<std::string>(),
-                             change.contains("value") ? Shown(change["value"])
-                                                      : std::string());
+                             change.contains("value")
+                               ? DescribeValue(change["value"])
+                               : std::string());
   }
   return kExitGood;
 }
--- a/Utilities/Load/LoadPlan.cpp
+++ b/Utilities/Load/LoadPlan.cpp
@@ -22,7 +22,8 @@
   }
   for (const auto& [name, key] : callers->items()) {
     if (!key.is_string()) {
-      aReader.Report("callers/" + name, "expected a key, found " + Shown(key));
+      aReader.Report("callers/" + name,
+                     "expected a key, found " + DescribeValue(key));
       continue;
     }
     aPlan.mCallers.push_back({ name, key.get<std::string>() });
@@ -45,7 +46,7 @@
     if (!good) {
       aProblems.push_back(
         { "/prompts/" + size,
-          "expected tokens and a count, found " + Shown(count) });
+          "expected tokens and a count, found " + DescribeValue(count) });
       continue;
     }
     aPlan.mPrompts.push_back(
