--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -3,7 +3,7 @@
 /// The agent: the only way to its endpoint. It turns RPC calls and timers into
 /// the scheduler's functions and their results into engine requests.
 
-#include "EngineLink.h"
+#include "EngineClient.h"
 #include "GuardedCalls.h"
 
 #include "LibRules/LibRules.h"
--- a/Services/Agent/EngineLink.cpp
+++ b/Services/Agent/EngineClient.cpp
@@ -1,4 +1,4 @@
-#include "EngineLink.h"
+#include "EngineClient.h"
 
 #include "LibObserve/LibObserve.h"
 
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -2,7 +2,7 @@
 
 /// The entry's connections to agents, and its watch on the platform's list.
 
-#include "EntryBoard.h"
+#include "EntryState.h"
 
 #include "LibDaemon/LibDaemon.h"
 #include "LibStore/LibStore.h"
--- a/Services/Entry/EntryBoard.cpp
+++ b/Services/Entry/EntryState.cpp
@@ -1,4 +1,4 @@
-#include "EntryBoard.h"
+#include "EntryState.h"
 
 #include <spdlog/fmt/fmt.h>
 
--- a/Services/Entry/RequestParser.h
+++ b/Services/Entry/RequestParser.h
@@ -2,7 +2,7 @@
 
 /// Reading callers' requests: every wrong input has its own kind of error.
 
-#include "EntryBoard.h"
+#include "EntryState.h"
 
 #include "LibHttp/LibHttp.h"
 
