--- a/Services/Agent/AgentServer.cpp
+++ b/Services/Agent/AgentServer.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// A granted reservation. It is released when the entry drops it, which also
-/// happens when the entry's connection goes.
+/// A granted reservation. It is released when the entry drops the ticket or
+/// when the entry's connection ends.
 class ticket final : public wire::Ticket::Server
 {
 public:
@@ -26,7 +26,7 @@
       return KJ_EXCEPTION(FAILED, "a ticket starts once");
     }
     mStarted = true;
-    return Work(aContext).then([aContext](stream_end aEnd) mutable {
+    return StartWork(aContext).then([aContext](stream_end aEnd) mutable {
       wire::Ending::Builder ending = aContext.getResults().initEnding();
       ending.setComplete(aEnd.mComplete);
       ending.setChunks(aEnd.mChunks);
@@ -49,7 +49,8 @@
 
   kj::Promise<void> cancel(CancelContext aContext) override
   {
-    // What was never started cannot start any more: the ticket is used up.
+    // Marks the ticket as used, so that work that was never started cannot
+    // be started afterwards.
     const ran_state ran = mStarted ? ran_state::Unknown : ran_state::No;
     mStarted = true;
     mService.ReleaseReservation(mAttempt);
@@ -64,7 +65,7 @@
   }
 
 private:
-  kj::Promise<stream_end> Work(StartContext& aContext)
+  kj::Promise<stream_end> StartWork(StartContext& aContext)
   {
     if (mRole == hold_role::Member) {
       return mService.HoldMemberMemory(mAttempt);
@@ -75,7 +76,8 @@
     for (const capnp::Text::Reader member : work.getMembers()) {
       request.mMembers.push_back(TextFrom(member));
     }
-    // Shared: KJ's clients cannot be copied from a const object.
+    // Held by a shared pointer: the handler below captures it by const copy,
+    // and KJ clients cannot be copied from a const object.
     const std::shared_ptr<wire::ChunkSink::Client> sink =
       std::make_shared<wire::ChunkSink::Client>(aContext.getParams().getSink());
     aContext.releaseParams();
@@ -101,18 +103,18 @@
 DecodeReservation(wire::Reservation::Reader aWire, time_point aNow)
 {
   constexpr double kMinReservationWeight = 0.01;
-  reservation read;
-  read.mRequest = TextFrom(aWire.getRequest());
-  read.mAttempt = TextFrom(aWire.getAttempt());
-  read.mShape = FromWire(aWire.getQuery());
-  read.mRole = FromWire(aWire.getRole());
-  read.mDeadline = aNow + RemainingFromWire(aWire.getRemainingMs());
-  read.mWaitUntil = aNow + RemainingFromWire(aWire.getWaitMs());
-  read.mLease = RemainingFromWire(aWire.getLeaseMs());
+  reservation decoded;
+  decoded.mRequest = TextFrom(aWire.getRequest());
+  decoded.mAttempt = TextFrom(aWire.getAttempt());
+  decoded.mShape = FromWire(aWire.getQuery());
+  decoded.mRole = FromWire(aWire.getRole());
+  decoded.mDeadline = aNow + RemainingFromWire(aWire.getRemainingMs());
+  decoded.mWaitUntil = aNow + RemainingFromWire(aWire.getWaitMs());
+  decoded.mLease = RemainingFromWire(aWire.getLeaseMs());
   const double weight = aWire.getWeight();
-  read.mWeight =
+  decoded.mWeight =
     weight >= kMinReservationWeight ? weight : kMinReservationWeight;
-  return read;
+  return decoded;
 }
 
 service_call
@@ -165,17 +167,18 @@
 
   kj::Promise<void> reserve(ReserveContext aContext) override
   {
-    // Cancellable: an entry that gives up, or dies, frees its place at once.
+    // Cancellable, so that a reservation leaves the queue as soon as its entry
+    // cancels the call or crashes.
     aContext.allowCancellation();
-    const reservation asked =
+    const reservation requested =
       DecodeReservation(aContext.getParams().getReservation(), mService.Now());
-    return mService.Reserve(asked).then(
-      [this, aContext, asked](refusal aRefusal) mutable {
-        aContext.getResults().setRefusal(ToWire(aRefusal));
-        if (aRefusal == refusal::None) {
-          aContext.getResults().setTicket(kj::heap<ticket>(mService, asked));
-        }
-      });
+    return mService.Reserve(requested).then([this, aContext, requested](
+                                              refusal aRefusal) mutable {
+      aContext.getResults().setRefusal(ToWire(aRefusal));
+      if (aRefusal == refusal::None) {
+        aContext.getResults().setTicket(kj::heap<ticket>(mService, requested));
+      }
+    });
   }
 
   kj::Promise<void> call(CallContext aContext) override
--- a/Services/Agent/AgentServer.h
+++ b/Services/Agent/AgentServer.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The agent's RPC face: the gate, the agent, the tickets.
+/// The agent's Cap'n Proto RPC interface. A client opens the gate with the RPC
+/// key and gets the agent; each granted reservation is a ticket.
 
 #include "AgentService.h"
 
--- a/Services/Agent/AgentService.cpp
+++ b/Services/Agent/AgentService.cpp
@@ -8,12 +8,14 @@
 
 constexpr duration kEnginePollInterval = std::chrono::milliseconds(500);
 constexpr duration kReconcileInterval = std::chrono::seconds(1);
-/// Looks without an answer before the engine counts as down: one lost answer
-/// must not empty an engine's queue.
+/// Consecutive polls without an answer until the engine counts as down. More
+/// than one, because a single lost answer must not empty the engine's queue.
 constexpr unsigned kMissedPollsUntilDown = 3;
-/// Looks at which a stranger must be seen before it is cancelled: a stream can
-/// be new here while the list was on its way.
+/// Consecutive lists in which an orphan must appear before it is cancelled: a
+/// stream can be new to this agent while a list is on its way.
 constexpr unsigned kOrphanSightingsBeforeCancel = 3;
+/// Added to a long prompt's priority at the engine, which puts it behind the
+/// priorities 0 to 3 of short prompts.
 constexpr unsigned kLongPromptPriorityOffset = 4;
 
 } // namespace
@@ -54,14 +56,14 @@
 kj::Promise<void>
 agent_service::PollEngine()
 {
-  return mEngine.Steps()
+  return mEngine.FetchStepCount()
     .then([this](std::optional<std::uint64_t> aSteps) {
       ApplyEnginePoll(aSteps);
       return mEngine.FetchCachedPrefixes(mEventNumber);
     })
     .then([this](std::vector<std::uint64_t> aMarks) {
       for (const std::uint64_t mark : aMarks) {
-        // Events come late and with gaps; they only add to what we saw.
+        // Cache events arrive late and with gaps, so they only add entries.
         mBoard.mCache.Insert({ mark });
       }
       return Delay(kEnginePollInterval);
@@ -99,7 +101,7 @@
 agent_service::Reconcile()
 {
   return Delay(kReconcileInterval)
-    .then([this]() { return mEngine.List(); })
+    .then([this]() { return mEngine.ListMemoryHolders(); })
     .then([this](std::optional<std::set<std::string>> aListed) {
       if (aListed) {
         CancelOrphans(*aListed);
@@ -108,22 +110,23 @@
     });
 }
 
-/// What holds memory in the engine and is not ours was left by an agent that
-/// died here, or by a cancel that was lost; nobody else would ever free it.
+/// Cancels streams and memory holds that the engine lists but this agent does
+/// not track. They are left over from an earlier agent process that crashed, or
+/// from a lost cancel, and nothing else would ever free their memory.
 void
 agent_service::CancelOrphans(const std::set<std::string>& aListed)
 {
-  std::map<std::string, unsigned> strangers;
+  std::map<std::string, unsigned> sightings;
   for (const std::string& id : aListed) {
     if (mBoard.mWork.contains(id) || id.empty()) {
       continue;
     }
     const auto seen = mOrphanSightings.find(id);
-    strangers[id] = seen == mOrphanSightings.end() ? 1 : seen->second + 1;
+    sightings[id] = seen == mOrphanSightings.end() ? 1 : seen->second + 1;
   }
-  mOrphanSightings = std::move(strangers);
-  for (const auto& [id, looks] : mOrphanSightings) {
-    if (looks >= kOrphanSightingsBeforeCancel) {
+  mOrphanSightings = std::move(sightings);
+  for (const auto& [id, count] : mOrphanSightings) {
+    if (count >= kOrphanSightingsBeforeCancel) {
       Log(log_level::Warning, "stranger_cancelled", { { "attempt", id } });
       mMetrics.Count("primrose_strangers_cancelled_total");
       CancelAtEngine(id);
@@ -135,7 +138,8 @@
 agent_service::CancelAtEngine(const std::string& aAttempt)
 {
   mTasks.add(mEngine.Cancel(aAttempt).then([aAttempt](bool aDone) {
-    // A lost cancel is made good by the next reconciliations.
+    // After a lost cancel, the next reconciliations cancel the attempt as an
+    // orphan.
     if (!aDone) {
       Log(log_level::Warning, "cancel_lost", { { "attempt", aAttempt } });
     }
@@ -164,11 +168,12 @@
 kj::Promise<refusal>
 agent_service::Reserve(const reservation& aReservation)
 {
-  const refusal now = primrose::Reserve(mBoard, aReservation, mClock.Now());
-  if (now != refusal::None) {
+  const refusal immediate =
+    primrose::Reserve(mBoard, aReservation, mClock.Now());
+  if (immediate != refusal::None) {
     mMetrics.Count(
-      Labelled("primrose_refusals_total", "reason", RefusalName(now)));
-    return now;
+      Labelled("primrose_refusals_total", "reason", RefusalName(immediate)));
+    return immediate;
   }
   const std::string attempt = aReservation.mAttempt;
   kj::PromiseFulfillerPair<refusal> pair =
@@ -177,7 +182,8 @@
   DispatchWaiting();
   return pair.promise.attach(kj::defer([this, attempt]() {
     if (mWaiting.erase(attempt) > 0) {
-      // The entry went away, or gave up, while its work waited.
+      // The entry cancelled the call or disconnected while its reservation
+      // waited in the queue.
       Release(mBoard, attempt, mClock.Now());
       DispatchWaiting();
     }
@@ -209,14 +215,16 @@
     mTimer = nullptr;
     return;
   }
-  // Waiting work can become due by reading alone, without any event here.
-  constexpr duration kLongestSleep = std::chrono::milliseconds(20);
-  duration sleep = std::max(duration(0), *next - mClock.Now());
+  // A waiting reservation can become admissible merely because the engine's
+  // prefill advances, which causes no event in this process. While any
+  // reservation waits, the scheduler is therefore run at this interval.
+  constexpr duration kMaxDelayWhileWaiting = std::chrono::milliseconds(20);
+  duration delay = std::max(duration(0), *next - mClock.Now());
   if (!mWaiting.empty()) {
-    sleep = std::min(sleep, kLongestSleep);
+    delay = std::min(delay, kMaxDelayWhileWaiting);
   }
   mTimer =
-    Delay(sleep)
+    Delay(delay)
       .then([this]() {
         mTasks.add(kj::evalLater([this]() { EndExpiredReservations(); }));
       })
@@ -236,10 +244,10 @@
       Labelled("primrose_expired_total", "cause", ExpiryName(item.mCause)));
     const auto waiting = mWaiting.find(item.mAttempt);
     if (waiting != mWaiting.end()) {
-      const refusal why = item.mCause == expiry_cause::WaitOver
-                            ? refusal::NoRoom
-                            : refusal::TooLate;
-      waiting->second->fulfill(kj::cp(why));
+      const refusal reason = item.mCause == expiry_cause::WaitOver
+                               ? refusal::NoRoom
+                               : refusal::TooLate;
+      waiting->second->fulfill(kj::cp(reason));
       mWaiting.erase(waiting);
     }
     const auto abort = mAbortFulfillers.find(item.mAttempt);
@@ -269,15 +277,16 @@
   const work_shape& shape = mBoard.mWork.at(aAttempt).mReservation.mShape;
   aRequest.mId = aAttempt;
   aRequest.mMaxTokens = shape.mMaxTokens;
-  // Short prompts are read before long ones, whatever their class: a long
-  // prompt loses little by it, a short one would lose all.
+  // The engine prefills short prompts before long ones, whatever their
+  // priority class: the delay is small compared with a long prompt's own
+  // prefill time, but would be most of a short prompt's latency.
   aRequest.mPriority =
     shape.mPriority + (shape.mLong ? kLongPromptPriorityOffset : 0);
   mSubmittedAttempts.insert(aAttempt);
   kj::PromiseFulfillerPair<stream_end> abort =
     kj::newPromiseAndFulfiller<stream_end>();
   mAbortFulfillers.insert_or_assign(aAttempt, kj::mv(abort.fulfiller));
-  const engine_client::chunk_handler noting =
+  const engine_client::chunk_handler recordingHandler =
     [this, aAttempt, aHandler](std::uint64_t aIndex, std::string aText) {
       if (aIndex == 0) {
         NoteFirstToken(mBoard, aAttempt, mClock.Now());
@@ -285,14 +294,15 @@
       }
       return aHandler(aIndex, std::move(aText));
     };
-  return mEngine.Run(std::move(aRequest), noting)
+  return mEngine.Run(std::move(aRequest), recordingHandler)
     .then([this, aAttempt](stream_end aEnd) {
       if (aEnd.mComplete || aEnd.mRan == ran_state::No) {
         mSubmittedAttempts.erase(aAttempt);
       }
       if (aEnd.mUnreachable && mBoard.mEngineUp) {
-        // Refused until a look succeeds: the regular looks would notice only
-        // after a second and a half, and every request until then would fail.
+        // Marks the engine as down until a poll succeeds. The regular polls
+        // would detect it only after 1.5 seconds, and every request placed
+        // here until then would fail.
         mBoard.mEngineUp = false;
         Log(log_level::Error, "engine_down", { { "attempt", aAttempt } });
       }
@@ -313,7 +323,7 @@
   }
   const tokens need = mBoard.mWork.at(aAttempt).mReservation.mShape.Need();
   mSubmittedAttempts.insert(aAttempt);
-  return mEngine.Hold(aAttempt, need).then([this, aAttempt](bool aHeld) {
+  return mEngine.HoldMemory(aAttempt, need).then([this, aAttempt](bool aHeld) {
     stream_end end;
     end.mComplete = aHeld;
     end.mProblem = aHeld ? "" : "the engine did not hold the memory";
@@ -372,9 +382,9 @@
 void
 agent_service::CheckDrained()
 {
-  const bool over =
+  const bool finished =
     mBoard.mLeaving && InFlight() == 0 && !mCalls.HasUnwrittenOutcomes();
-  if (!over || !mDrained) {
+  if (!finished || !mDrained) {
     return;
   }
   Log(log_level::Info, "drain_finished", {});
--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The agent: the only way to its endpoint. It turns RPC calls and timers into
-/// the scheduler's functions and their results into engine requests.
+/// The agent process: every request to its endpoint passes through it. It calls
+/// the scheduler's functions on RPC calls and timers, and carries out their
+/// results as requests to the engine.
 
 #include "EngineClient.h"
 #include "GuardedCalls.h"
@@ -18,9 +19,10 @@
                 const settings_tree& aTree,
                 std::function<void()> aDrained);
 
-  /// Starts the loops that watch the endpoint.
+  /// Starts the loops that poll the engine and cancel orphaned streams.
   void Start();
-  /// Refuses new work; `aDrained` is called when nothing is in flight.
+  /// Refuses new work. The constructor's `aDrained` is called once nothing is
+  /// in flight.
   void Drain();
   std::size_t InFlight() const;
   json Status() const;
@@ -28,7 +30,7 @@
   bool IsReady() const;
   bool IsOperator(const std::string& aKey) const;
 
-  // For the RPC servers of this agent.
+  // Called by the RPC servers (see AgentServer.cpp).
   kj::Promise<refusal> Reserve(const reservation& aReservation);
   probe_answer Probe(const work_shape& aShape);
   kj::Promise<stream_end> RunOnEngine(const std::string& aAttempt,
@@ -36,7 +38,8 @@
                                       engine_client::chunk_handler aHandler);
   kj::Promise<stream_end> HoldMemberMemory(const std::string& aAttempt);
   bool RenewReservation(const std::string& aAttempt);
-  /// Frees the attempt and cancels it at the engine if it was given to it.
+  /// Releases the attempt's reservation, and cancels the attempt at the engine
+  /// if it was submitted there.
   void ReleaseReservation(const std::string& aAttempt);
   kj::Promise<service_answer> Call(service_call aCall);
   time_point Now() const { return mClock.Now(); }
@@ -67,9 +70,10 @@
   std::map<std::string, kj::Own<kj::PromiseFulfiller<refusal>>> mWaiting;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<stream_end>>>
     mAbortFulfillers;
-  /// Streams given to the engine, until the engine has ended them.
+  /// Attempts submitted to the engine that it has not finished.
   std::set<std::string> mSubmittedAttempts;
-  /// Ids seen at the engine that are not ours, with the number of looks.
+  /// Ids that the engine lists but this agent does not track, each with the
+  /// number of consecutive lists that had it.
   std::map<std::string, unsigned> mOrphanSightings;
   unsigned mMissedPolls = 0;
   std::uint64_t mSteps = 0;
--- a/Services/Agent/EngineClient.cpp
+++ b/Services/Agent/EngineClient.cpp
@@ -10,13 +10,14 @@
 
 constexpr duration kEngineCallTimeout = std::chrono::seconds(2);
 constexpr unsigned kMaxResumes = 3;
-constexpr std::size_t kLargestAnswer = std::size_t{ 4 } * 1024 * 1024;
-constexpr std::string_view kDone = "[DONE]";
-constexpr unsigned kGood = 200;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{ 4 } * 1024 * 1024;
+constexpr std::string_view kEndOfStream = "[DONE]";
+constexpr unsigned kHttpOk = 200;
 
 } // namespace
 
-/// A prompt that is being run: what came so far and where to go on.
+/// The state of a running prompt: its stream, what was received so far, and
+/// how often the stream was resumed.
 struct engine_client::run
 {
   engine_request mRequest;
@@ -49,14 +50,15 @@
   aRequest.mPrompt.clear();
   state->mRequest = std::move(aRequest);
   state->mHandler = std::move(aHandler);
-  // From here on the engine may have got it, whatever we hear.
+  // From here on the engine may have received the request, even if no answer
+  // arrives.
   state->mEnd.mRan = ran_state::Unknown;
   return mHttp.Open(std::move(request))
     .then(
       [this, state = kj::mv(state)](
         kj::Own<http_stream> aStream) mutable -> kj::Promise<stream_end> {
-        if (aStream->Status() != kGood) {
-          // The engine refused before it started anything.
+        if (aStream->Status() != kHttpOk) {
+          // An error status means that the engine refused before it started.
           state->mEnd.mRan = ran_state::No;
           state->mEnd.mProblem =
             fmt::format("the engine answered {}", aStream->Status());
@@ -105,21 +107,22 @@
   if (aNext == aEvents.size()) {
     return ReadNextEvents(kj::mv(aRun));
   }
-  if (aEvents[aNext] == kDone) {
+  if (aEvents[aNext] == kEndOfStream) {
     end.mComplete = end.mChunks > 0;
     return end;
   }
   const json event = json::parse(aEvents[aNext], nullptr, false);
-  const bool good = event.is_object() && event.contains("index") &&
-                    event["index"].is_number_unsigned() &&
-                    event.contains("text") && event["text"].is_string();
-  if (!good) {
+  const bool valid = event.is_object() && event.contains("index") &&
+                     event["index"].is_number_unsigned() &&
+                     event.contains("text") && event["text"].is_string();
+  if (!valid) {
     end.mProblem = "the engine sent an event that is not understood";
     return end;
   }
   const std::uint64_t index = event["index"].get<std::uint64_t>();
   if (index < end.mChunks) {
-    // After a resume an engine may repeat what was delivered already.
+    // After a resume the engine may send chunks again that were delivered
+    // already.
     return DeliverEvents(kj::mv(aRun), std::move(aEvents), aNext + 1);
   }
   if (index > end.mChunks) {
@@ -165,7 +168,7 @@
            own = kj::mv(aRun)](kj::Maybe<kj::Own<http_stream>> aStream) mutable
           -> kj::Promise<stream_end> {
       KJ_IF_MAYBE (stream, aStream) {
-        if ((*stream)->Status() == kGood) {
+        if ((*stream)->Status() == kHttpOk) {
           own->mStream = kj::mv(*stream);
           return ReadNextEvents(kj::mv(own));
         }
@@ -179,11 +182,11 @@
 engine_client::GetJson(const std::string& aPath)
 {
   return WithTimeout(
-           mHttp.Send(http_request{ "GET", mUrl + aPath }, kLargestAnswer),
+           mHttp.Send(http_request{ "GET", mUrl + aPath }, kMaxAnswerBytes),
            kEngineCallTimeout)
     .then([](http_response aResponse) -> std::optional<json> {
       json body = json::parse(aResponse.mBody, nullptr, false);
-      if (aResponse.mStatus != kGood || !body.is_object()) {
+      if (aResponse.mStatus != kHttpOk || !body.is_object()) {
         return std::nullopt;
       }
       return body;
@@ -197,9 +200,9 @@
 {
   http_request request{ "POST", mUrl + aPath };
   request.mBody = aBody.dump();
-  return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
+  return WithTimeout(mHttp.Send(std::move(request), kMaxAnswerBytes),
                      kEngineCallTimeout)
-    .then([](http_response aResponse) { return aResponse.mStatus == kGood; })
+    .then([](http_response aResponse) { return aResponse.mStatus == kHttpOk; })
     .catch_([](kj::Exception&&) { return false; });
 }
 
@@ -210,13 +213,13 @@
 }
 
 kj::Promise<bool>
-engine_client::Hold(const std::string& aId, tokens aTokens)
+engine_client::HoldMemory(const std::string& aId, tokens aTokens)
 {
   return PostJson("/v1/kv/hold", { { "id", aId }, { "tokens", aTokens } });
 }
 
 kj::Promise<std::optional<std::set<std::string>>>
-engine_client::List()
+engine_client::ListMemoryHolders()
 {
   return GetJson("/v1/streams")
     .then(
@@ -235,7 +238,7 @@
 }
 
 kj::Promise<std::optional<std::uint64_t>>
-engine_client::Steps()
+engine_client::FetchStepCount()
 {
   return GetJson("/v1/load")
     .then([](std::optional<json> aBody) -> std::optional<std::uint64_t> {
--- a/Services/Agent/EngineClient.h
+++ b/Services/Agent/EngineClient.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The agent's link to its engine: HTTP requests and event streams.
+/// The agent's HTTP client for its engine: completions as event streams, and
+/// requests for cancels, memory holds, load and cache events.
 
 #include "LibDecision/LibDecision.h"
 #include "LibHttp/LibHttp.h"
@@ -24,7 +25,7 @@
   bool operator==(const engine_request&) const = default;
 };
 
-/// How a stream from the engine ended.
+/// How a prompt or memory hold at the engine ended.
 struct stream_end
 {
   bool mComplete = false;
@@ -39,25 +40,29 @@
 class engine_client
 {
 public:
-  /// Takes each chunk in order; the stream is read on when the promise
-  /// resolves, which is how back-pressure reaches the engine.
+  /// Called for each chunk in order. The next chunk is read only after the
+  /// promise has resolved, which applies back-pressure to the engine.
   using chunk_handler =
     std::function<kj::Promise<void>(std::uint64_t, std::string)>;
 
   engine_client(http_client& aHttp, std::string aAddress);
 
   /// Runs a prompt. A stream that breaks is resumed where it broke, as long as
-  /// the engine still has it. Never fails; the end says what happened.
+  /// the engine still has it. The promise never fails; errors are reported in
+  /// the result.
   kj::Promise<stream_end> Run(engine_request aRequest, chunk_handler aHandler);
-  /// Ends a stream or hold. True once the engine has said so.
+  /// Ends a stream or memory hold. True if the engine confirmed it.
   kj::Promise<bool> Cancel(const std::string& aId);
-  kj::Promise<bool> Hold(const std::string& aId, tokens aTokens);
-  /// The ids of all that holds memory in the engine; nothing if it is silent.
-  kj::Promise<std::optional<std::set<std::string>>> List();
-  /// Whether the engine answers, and the count of steps it has done.
-  kj::Promise<std::optional<std::uint64_t>> Steps();
-  /// The prefixes that the engine says it cached after an event number; the
-  /// number is moved on.
+  /// Reserves memory at the engine for a part of another engine's prompt.
+  kj::Promise<bool> HoldMemory(const std::string& aId, tokens aTokens);
+  /// The ids of all streams and holds that take memory in the engine; nullopt
+  /// if the engine does not answer.
+  kj::Promise<std::optional<std::set<std::string>>> ListMemoryHolders();
+  /// The number of steps that the engine has executed; nullopt if it does not
+  /// answer.
+  kj::Promise<std::optional<std::uint64_t>> FetchStepCount();
+  /// The hashes of the prefixes that the engine cached after the event number
+  /// `aNumber`, which is advanced to the last event seen.
   kj::Promise<std::vector<std::uint64_t>> FetchCachedPrefixes(
     std::uint64_t& aNumber);
 
--- a/Services/Agent/GuardedCalls.cpp
+++ b/Services/Agent/GuardedCalls.cpp
@@ -6,14 +6,18 @@
 
 namespace {
 
-/// Room to tell the entry before its own time limit ends the request.
+/// A call ends this long before its deadline, so that the answer reaches the
+/// entry before the entry's own time limit ends the request.
 constexpr duration kAnswerMargin = std::chrono::milliseconds(20);
+/// How often a repeated call looks again for the outcome of the first one that
+/// runs in this process.
 constexpr duration kClaimRetryInterval = std::chrono::milliseconds(50);
-/// How far the clocks of two VMs may be apart.
+/// Assumed maximum difference between the clocks of two VMs.
 constexpr std::int64_t kClockSkewMs = 5000;
-/// Answers over this are not kept for repeats, only that the call was done.
+/// Larger answers are not stored for replay; the row then only records that the
+/// call was done.
 constexpr std::size_t kMaxStoredBodyBytes = std::size_t{ 64 } * 1024;
-constexpr std::size_t kLargestBody = std::size_t{ 8 } * 1024 * 1024;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{ 8 } * 1024 * 1024;
 
 service_answer
 FailedAnswer(error_kind aKind, std::string aMessage, ran_state aRan)
@@ -40,7 +44,7 @@
 std::string
 ClaimKey(const service_call& aCall)
 {
-  // Lengths first, so that no choice of names can make two keys one.
+  // Lengths come first, so that no choice of names maps two keys to one string.
   return fmt::format("{}:{}/{}:{}/{}",
                      aCall.mOrganisation.size(),
                      aCall.mOrganisation,
@@ -108,11 +112,12 @@
   return pair.promise.exclusiveJoin(Delay(aDeadline - mClock.Now()))
     .attach(kj::defer([this, aAttempt]() {
       mWaiters.erase(aAttempt);
-      // Dropped while the claim is not settled: nobody waits for the answer.
-      const claim* const left = FindClaim(mBoard, aAttempt);
-      if (left != nullptr && left->mStage != claim_stage::Held &&
-          left->mStage != claim_stage::Taken &&
-          left->mStage != claim_stage::Running) {
+      // The caller dropped the promise, or the deadline passed, before the
+      // claim was decided: nothing waits for the answer any more.
+      const claim* const pending = FindClaim(mBoard, aAttempt);
+      if (pending != nullptr && pending->mStage != claim_stage::Held &&
+          pending->mStage != claim_stage::Taken &&
+          pending->mStage != claim_stage::Running) {
         GiveUp(mBoard, aAttempt, mClock.Now());
       }
     }));
@@ -123,16 +128,17 @@
 {
   const claim* const settled = FindClaim(mBoard, aCall.mAttempt);
   if (settled == nullptr) {
-    return NotRun(aCall);
+    return NotRunAnswer(aCall);
   }
   if (settled->mStage == claim_stage::Taken) {
-    return Taken(std::move(aCall));
+    return AnswerFromExistingClaim(std::move(aCall));
   }
-  // The clock is looked at again here, after the last wait: a process that was
-  // paused while it held the claim must not run what its caller gave up.
+  // Reads the clock again after the last wait: if this process was paused
+  // while it held the claim, the caller may have given up, and the call must
+  // not run any more.
   if (!BeginRun(mBoard, aCall.mAttempt, mClock.Now())) {
     GiveUp(mBoard, aCall.mAttempt, mClock.Now());
-    return NotRun(aCall);
+    return NotRunAnswer(aCall);
   }
   const std::string attempt = aCall.mAttempt;
   return Send(aCall)
@@ -149,24 +155,25 @@
       return aAnswer;
     })
     .attach(kj::defer([this, attempt]() {
-      // The row stays: a repeat learns that the outcome is not known.
+      // The row stays in the store, so that a repeat is answered that the
+      // outcome is unknown.
       ForgetClaim(mBoard, attempt);
     }));
 }
 
 service_answer
-guarded_calls::NotRun(const service_call& aCall)
+guarded_calls::NotRunAnswer(const service_call& aCall)
 {
-  const bool late = mClock.Now() >= aCall.mDeadline - kAnswerMargin * 2;
+  const bool deadlineNear = mClock.Now() >= aCall.mDeadline - kAnswerMargin * 2;
   mMetrics.Count("primrose_guarded_not_run_total");
-  return FailedAnswer(late ? error_kind::DeadlineExceeded
-                           : error_kind::StoreUnavailable,
+  return FailedAnswer(deadlineNear ? error_kind::DeadlineExceeded
+                                   : error_kind::StoreUnavailable,
                       "the key could not be claimed in time; it was not run",
                       ran_state::No);
 }
 
 kj::Promise<service_answer>
-guarded_calls::Taken(service_call aCall)
+guarded_calls::AnswerFromExistingClaim(service_call aCall)
 {
   const claim_row row =
     FindClaim(mBoard, aCall.mAttempt)->mRow.value_or(claim_row{});
@@ -181,7 +188,8 @@
     return Replay(row);
   }
   if (FindClaim(mBoard, row.mAttempt) != nullptr) {
-    // The first call runs here; its answer is awaited within our time.
+    // The first call runs in this process: waits for its answer within this
+    // call's own deadline.
     if (mClock.Now() + kClaimRetryInterval >= aCall.mDeadline - kAnswerMargin) {
       return FailedAnswer(error_kind::InProgress,
                           "the first call with this key is running",
@@ -192,12 +200,12 @@
         return RunGuarded(std::move(call));
       });
   }
-  const bool over =
+  const bool ended =
     mClock.Wall().time_since_epoch().count() > row.mEndsMs + kClockSkewMs;
   return FailedAnswer(
-    over ? error_kind::OutcomeUnknown : error_kind::InProgress,
-    over ? "the first call with this key may have run"
-         : "the first call with this key may still be running",
+    ended ? error_kind::OutcomeUnknown : error_kind::InProgress,
+    ended ? "the first call with this key may have run"
+          : "the first call with this key may still be running",
     ran_state::Unknown);
 }
 
@@ -220,7 +228,7 @@
   }
   request.mHeaders.emplace("X-Request-Id", aCall.mRequest);
   mMetrics.Count("primrose_service_calls_total");
-  return WithTimeout(mHttp.Send(std::move(request), kLargestBody),
+  return WithTimeout(mHttp.Send(std::move(request), kMaxAnswerBytes),
                      aCall.mDeadline - kAnswerMargin - now)
     .then([](http_response aResponse) {
       service_answer answer;
@@ -231,9 +239,10 @@
       return answer;
     })
     .catch_([](kj::Exception&& aException) {
-      const bool late = aException.getType() == kj::Exception::Type::OVERLOADED;
-      return FailedAnswer(late ? error_kind::DeadlineExceeded
-                               : error_kind::EndpointFailed,
+      const bool timedOut =
+        aException.getType() == kj::Exception::Type::OVERLOADED;
+      return FailedAnswer(timedOut ? error_kind::DeadlineExceeded
+                                   : error_kind::EndpointFailed,
                           aException.getDescription().cStr(),
                           ran_state::Unknown);
     });
@@ -266,7 +275,8 @@
   }
   mTimer = Delay(*next - mClock.Now())
              .then([this]() {
-               // A task of its own: this timer is replaced by the next pump.
+               // Runs as a separate task, because ProcessStoreQueue replaces
+               // this timer's promise.
                mTasks.add(kj::evalLater([this]() { ProcessStoreQueue(); }));
              })
              .eagerlyEvaluate(nullptr);
--- a/Services/Agent/GuardedCalls.h
+++ b/Services/Agent/GuardedCalls.h
@@ -1,7 +1,9 @@
 #pragma once
 
-/// Calls of plain services, the guarded ones at most once: claims their keys
-/// in the platform's table (see LibDecision/Claims.h) and runs what is held.
+/// Runs calls of plain services. A guarded call runs at most once: its
+/// Idempotency-Key is claimed in the platform's table (see
+/// LibDecision/Claims.h) and the call is sent to the endpoint only while this
+/// agent holds the claim.
 
 #include "LibDaemon/LibDaemon.h"
 #include "LibDecision/LibDecision.h"
@@ -14,7 +16,7 @@
 
 namespace primrose::agent {
 
-/// A call as it came from an entry.
+/// A call as received from an entry.
 struct service_call
 {
   std::string mRequest;
@@ -55,20 +57,21 @@
                 std::string aAgent,
                 std::string aEndpoint);
 
-  /// Never fails; ends at the call's deadline at the latest.
+  /// The promise never fails, and resolves by the call's deadline at the
+  /// latest.
   kj::Promise<service_answer> Run(service_call aCall);
   std::size_t InFlight() const { return mInFlight; }
-  /// True while outcomes have not been written to the store.
+  /// True while some outcomes are not written to the store yet.
   bool HasUnwrittenOutcomes() const { return !mBoard.mResults.empty(); }
 
 private:
   kj::Promise<service_answer> RunGuarded(service_call aCall);
   kj::Promise<service_answer> ContinueAfterClaim(service_call aCall);
-  kj::Promise<service_answer> Taken(service_call aCall);
+  kj::Promise<service_answer> AnswerFromExistingClaim(service_call aCall);
   kj::Promise<service_answer> Send(const service_call& aCall);
   kj::Promise<void> WaitForClaim(const std::string& aAttempt,
                                  time_point aDeadline);
-  service_answer NotRun(const service_call& aCall);
+  service_answer NotRunAnswer(const service_call& aCall);
   void ProcessStoreQueue();
   void WriteDueClaims();
   void ReadDueClaims();
@@ -88,7 +91,8 @@
   kj::TaskSet mTasks{ mFailures };
 };
 
-/// What tells two requests with one key apart: method, path and body.
+/// Hash of method, path and body: detects a different request that is sent with
+/// an Idempotency-Key already in use.
 std::uint64_t
 RequestHash(const service_call& aCall);
 
--- a/Services/Agent/Main.cpp
+++ b/Services/Agent/Main.cpp
@@ -1,4 +1,5 @@
-/// primrose-agent: runs beside an endpoint and is the only way to it.
+/// primrose-agent: runs beside an endpoint; all requests to the endpoint pass
+/// through it.
 
 #include "AgentServer.h"
 
@@ -11,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kLargestBody = std::size_t{ 64 } * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{ 64 } * 1024;
 constexpr const char* kJsonType = "application/json";
 
 void
@@ -62,26 +63,27 @@
   const system_clock_source clock;
   main_loop loop;
   agent_service service(clock, settings, tree, [&loop]() { loop.QuitSoon(); });
-  BOOST_LEAF_ASSIGN(std::unique_ptr<rpc_server> const server,
+  BOOST_LEAF_ASSIGN(std::unique_ptr<rpc_server> const rpcServer,
                     rpc_server::Open(rpc, MakeGate(service)));
   BOOST_LEAF_ASSIGN(
-    std::unique_ptr<http_server> const faces,
+    std::unique_ptr<http_server> const httpServer,
     http_server::Open(http.mHost,
                       http.mPort,
-                      kLargestBody,
+                      kMaxBodyBytes,
                       [&](std::shared_ptr<http_exchange> aExchange) {
                         HandleHttp(service, *aExchange);
                       }));
-  const std::string httpBound = ip_address{ http.mHost, faces->Port() }.Text();
+  const std::string httpBound =
+    ip_address{ http.mHost, httpServer->Port() }.Text();
   BOOST_LEAF_CHECK(WriteAddressFile(settings.mAddressFile,
                                     { { "role", "agent" },
                                       { "name", settings.mName },
                                       { "http", httpBound },
-                                      { "rpc", server->Address().Text() },
+                                      { "rpc", rpcServer->Address().Text() },
                                       { "standin", settings.mEndpoint } }));
   Log(log_level::Info,
       "listening",
-      { { "rpc", server->Address().Text() }, { "http", httpBound } });
+      { { "rpc", rpcServer->Address().Text() }, { "http", httpBound } });
   loop.OnTerminate([&service]() { service.Drain(); });
   service.Start();
   return loop.Run();
