--- a/Services/Entry/AgentPool.cpp
+++ b/Services/Entry/AgentPool.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// How often the platform's list is read. 350 entries that read it every five
-/// seconds are 70 reads a second of the platform's two thousand.
+/// Mean interval between reads of the platform's list. 350 entries that read it
+/// every five seconds cause 70 reads per second; the platform serves two
+/// thousand.
 constexpr double kListPollSeconds = 5;
-/// Until a first list has come, and while it is empty.
+/// Mean interval until a first list has arrived, and while the list is empty.
 constexpr double kInitialListPollSeconds = 0.25;
 
 } // namespace
 
 agent_pool::agent_pool(const clock_source& aClock,
-                       entry_state& aBoard,
+                       entry_state& aState,
                        table_client& aStore)
   : mClock(aClock)
-  , mBoard(aBoard)
+  , mBoard(aState)
   , mStore(aStore)
 {
 }
@@ -26,11 +27,11 @@
 void
 agent_pool::Start()
 {
-  mTasks.add(Watch());
+  mTasks.add(PollEndpointList());
 }
 
 kj::Promise<void>
-agent_pool::Watch()
+agent_pool::PollEndpointList()
 {
   return mStore.ListEndpoints()
     .then([this](std::optional<std::vector<listed_endpoint>> aList) {
@@ -41,7 +42,7 @@
       }
       return Delay(NextPollDelay());
     })
-    .then([this]() { return Watch(); });
+    .then([this]() { return PollEndpointList(); });
 }
 
 duration
@@ -50,7 +51,8 @@
   const double mean = mBoard.mDirectory.mEndpoints.empty()
                         ? kInitialListPollSeconds
                         : kListPollSeconds;
-  // Jitter of half to one and a half, so that entries spread out.
+  // A random factor of 0.5 to 1.5 (half to one and a half) spreads the reads of
+  // many entries over time.
   return FromSeconds(mean * (0.5 + Uniform(mBoard.mRandom)));
 }
 
@@ -87,10 +89,10 @@
   if (!address) {
     return nullptr;
   }
-  std::shared_ptr<agent_link> link = std::make_shared<agent_link>(
+  std::shared_ptr<agent_link> connection = std::make_shared<agent_link>(
     *address.mValue, mBoard.mSettings.mRpcKey, mBoard.mSettings.mName);
-  mAgentConnections.emplace(aEndpoint, link);
-  return link;
+  mAgentConnections.emplace(aEndpoint, connection);
+  return connection;
 }
 
 } // namespace primrose::entry
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The entry's connections to agents, and its watch on the platform's list.
+/// The entry's RPC connections to agents, and the polling of the platform's
+/// list of endpoints.
 
 #include "EntryState.h"
 
@@ -13,16 +14,17 @@
 {
 public:
   agent_pool(const clock_source& aClock,
-             entry_state& aBoard,
+             entry_state& aState,
              table_client& aStore);
 
   void Start();
-  /// The connection to an endpoint's agent. Shared: a request may outlive the
-  /// endpoint's row in the list.
+  /// The connection to an endpoint's agent, or null if the endpoint is not
+  /// listed or its address is invalid. Shared, because a request may outlive
+  /// the endpoint's row in the list.
   std::shared_ptr<agent_link> ConnectionTo(const std::string& aEndpoint);
 
 private:
-  kj::Promise<void> Watch();
+  kj::Promise<void> PollEndpointList();
   void ApplyEndpointList(const std::vector<listed_endpoint>& aList);
   duration NextPollDelay();
 
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -6,13 +6,13 @@
 namespace primrose::entry {
 
 call_run::call_run(const clock_source& aClock,
-                   entry_state& aBoard,
+                   entry_state& aState,
                    agent_pool& aPool,
                    id_maker& aIds,
                    std::shared_ptr<http_exchange> aExchange,
                    call_request aRequest)
   : mClock(aClock)
-  , mBoard(aBoard)
+  , mBoard(aState)
   , mPool(aPool)
   , mIds(aIds)
   , mExchange(std::move(aExchange))
@@ -37,48 +37,53 @@
 call_run::Run()
 {
   const std::shared_ptr<call_run> self = shared_from_this();
-  kj::Promise<void> late = Delay(RemainingTime()).then([this]() {
+  kj::Promise<void> deadlineReached = Delay(RemainingTime()).then([this]() {
     FinishWithFailure({ error_kind::DeadlineExceeded,
                         "the time limit was reached",
                         mRan,
                         std::nullopt });
   });
-  // NOTE: A caller's hang-up does not cancel a plain call: it may have run
-  // already, and its outcome is kept for the repeat of a guarded one.
-  return Attempt().exclusiveJoin(kj::mv(late)).attach(kj::defer([self]() {}));
+  // NOTE: A plain call is not cancelled when the caller closes its connection:
+  // it may have run already, and the outcome of a guarded call must be stored
+  // for a retry with the same key.
+  return StartAttempt()
+    .exclusiveJoin(kj::mv(deadlineReached))
+    .attach(kj::defer([self]() {}));
 }
 
-/// The endpoint that the key prefers: repeats of a guarded call meet at one
-/// agent, which saves a read of the store. The claim row is what counts.
+/// Chooses an endpoint by rendezvous hashing of the Idempotency-Key (or of the
+/// request id if there is none). Repeats of a guarded call thus reach the same
+/// agent, which saves a read of the store. This is only an optimisation: the
+/// claim row is what keeps a guarded call from running twice.
 std::string
-call_run::Choose() const
+call_run::ChooseEndpoint() const
 {
   const std::string key =
     mRequest.mKey.empty() ? mRequest.mHead.mId : mRequest.mKey;
-  std::string best;
-  std::uint64_t bestWeight = 0;
+  std::string preferred;
+  std::uint64_t preferredWeight = 0;
   for (const endpoint_view* const view :
        Usable(mBoard.mDirectory, mRequest.mHead.mPath.mService, mClock.Now())) {
     const std::string& name = view->mListed.mName;
     const bool tried =
       std::find(mTried.begin(), mTried.end(), name) != mTried.end();
     const std::uint64_t weight = RendezvousWeight(key, name);
-    if (!tried && (best.empty() || weight > bestWeight)) {
-      best = name;
-      bestWeight = weight;
+    if (!tried && (preferred.empty() || weight > preferredWeight)) {
+      preferred = name;
+      preferredWeight = weight;
     }
   }
-  return best;
+  return preferred;
 }
 
 kj::Promise<void>
-call_run::Attempt()
+call_run::StartAttempt()
 {
   ++mAttempts;
-  const std::string endpoint = Choose();
-  const std::shared_ptr<agent_link> link =
+  const std::string endpoint = ChooseEndpoint();
+  const std::shared_ptr<agent_link> connection =
     endpoint.empty() ? nullptr : mPool.ConnectionTo(endpoint);
-  if (link == nullptr) {
+  if (connection == nullptr) {
     mTried.clear();
     return RetryOrFail(
       { error_kind::NoEndpoint,
@@ -94,7 +99,7 @@
                  fmt::format("{} by the key's order", endpoint),
                  mRequest.mHead.mPath,
                  { "attempts" });
-  return link->Get()
+  return connection->Get()
     .then([this, endpoint](wire::Agent::Client aAgent) {
       return Send(endpoint, aAgent);
     })
@@ -105,7 +110,7 @@
                            mRan,
                            std::nullopt });
     })
-    .attach(link);
+    .attach(connection);
 }
 
 kj::Promise<void>
@@ -124,10 +129,10 @@
   call.setGuarded(mRequest.mGuarded);
   call.setKey(mRequest.mKey);
   call.setRemainingMs(RemainingToWire(RemainingTime()));
-  const ran_state before = mRan;
+  const ran_state ranBefore = mRan;
   mRan = ran_state::Unknown;
   return request.send().then(
-    [this, before, aEndpoint](
+    [this, ranBefore, aEndpoint](
       capnp::Response<wire::Agent::CallResults> aResponse)
       -> kj::Promise<void> {
       const wire::CallAnswer::Reader answer = aResponse.getAnswer();
@@ -136,8 +141,8 @@
         ReturnAnswer(answer);
         return kj::READY_NOW;
       }
-      // Refused before anything was sent to the endpoint.
-      mRan = before;
+      // The agent refused before it sent anything to the endpoint.
+      mRan = ranBefore;
       if (FromWire(answer.getRefusal()) == refusal::Leaving) {
         NoteLeaving(mBoard.mDirectory, aEndpoint);
       }
@@ -148,23 +153,24 @@
     });
 }
 
-/// A call that is tried again is safe here: a guarded one by its claim row,
-/// which names the first attempt; the others by what the settings say of them.
+/// Retrying is safe here. A guarded call runs at most once because of its claim
+/// row, which names the first attempt; any other call may be repeated, because
+/// the settings do not list its path as guarded.
 kj::Promise<void>
-call_run::RetryOrFail(failure aWhy)
+call_run::RetryOrFail(failure aFailure)
 {
   const policy& rules = mRequest.mHead.mPolicy;
   const bool canRetry = mAttempts < static_cast<unsigned>(rules.mAttempts) &&
                         SpendRetry(mBoard.mRetries);
-  aWhy.mRan = mRan;
+  aFailure.mRan = mRan;
   if (!canRetry) {
-    FinishWithFailure(std::move(aWhy));
+    FinishWithFailure(std::move(aFailure));
     return kj::READY_NOW;
   }
   mBoard.mMetrics.Count("primrose_retries_total");
   const duration pause =
     RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
-  return Delay(pause).then([this]() { return Attempt(); });
+  return Delay(pause).then([this]() { return StartAttempt(); });
 }
 
 void
@@ -174,14 +180,14 @@
     KindNamed(TextFrom(aAnswer.getErrorKind()));
   const ran_state ran = FromWire(aAnswer.getRan());
   if (kind) {
-    failure why{ *kind, TextFrom(aAnswer.getErrorMessage()), ran, {} };
+    failure reported{ *kind, TextFrom(aAnswer.getErrorMessage()), ran, {} };
     if (AnswerFor(*kind).mRetryable) {
-      why.mRetryAfterSeconds = 1;
+      reported.mRetryAfterSeconds = 1;
     }
-    FinishWithFailure(std::move(why));
+    FinishWithFailure(std::move(reported));
     return;
   }
-  mOver = true;
+  mFinished = true;
   mBoard.mMetrics.Count(
     Labelled("primrose_calls_total", "outcome", "complete"));
   RecordDecision(
@@ -209,20 +215,20 @@
 }
 
 void
-call_run::FinishWithFailure(failure aWhy)
+call_run::FinishWithFailure(failure aFailure)
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
-  mOver = true;
+  mFinished = true;
   RecordRequestFailure(mBoard,
                        mClock,
                        mRequest.mHead.mId,
                        mRequest.mHead.mPath,
                        "primrose_calls_total",
                        "call_failed",
-                       aWhy);
-  mExchange->AnswerFailure(aWhy);
+                       aFailure);
+  mExchange->AnswerFailure(aFailure);
 }
 
 } // namespace primrose::entry
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Bytes that may wait for a slow caller before its engine is held back.
+/// Unsent bytes that a slow caller may accumulate before back-pressure is
+/// applied to the engine.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{ 64 } * 1024;
 constexpr duration kUnsentBytesPollInterval = std::chrono::milliseconds(10);
 constexpr int kRenewalsPerLease = 3;
@@ -58,12 +59,12 @@
 } // namespace
 
 completion_run::completion_run(const clock_source& aClock,
-                               entry_state& aBoard,
+                               entry_state& aState,
                                placer& aPlacer,
                                std::shared_ptr<http_exchange> aExchange,
                                completion_request aRequest)
   : mClock(aClock)
-  , mBoard(aBoard)
+  , mBoard(aState)
   , mPlacer(aPlacer)
   , mExchange(std::move(aExchange))
   , mRequest(std::move(aRequest))
@@ -94,40 +95,40 @@
     std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(
       kj::mv(hangup.fulfiller));
   mExchange->OnHangup([fulfiller]() { (*fulfiller)->fulfill(); });
-  kj::Promise<void> gone = hangup.promise.then([this]() {
-    mOver = true;
+  kj::Promise<void> callerClosed = hangup.promise.then([this]() {
+    mFinished = true;
     mBoard.mMetrics.Count("primrose_hangups_total");
     Log(
       log_level::Info, "caller_hung_up", { { "request", mRequest.mHead.mId } });
   });
-  kj::Promise<void> late = Delay(RemainingTime()).then([this]() {
+  kj::Promise<void> deadlineReached = Delay(RemainingTime()).then([this]() {
     FinishWithFailure({ error_kind::DeadlineExceeded,
                         "the time limit was reached",
                         mRan,
                         std::nullopt });
   });
-  return Attempt()
-    .exclusiveJoin(kj::mv(late))
-    .exclusiveJoin(kj::mv(gone))
+  return StartAttempt()
+    .exclusiveJoin(kj::mv(deadlineReached))
+    .exclusiveJoin(kj::mv(callerClosed))
     .attach(kj::defer([self]() {
-      // The tickets go with the request, whatever became of it.
+      // Releases the reservations, however the request ended.
       self->mLeaseRenewal = nullptr;
       self->mReservedEndpoints.clear();
     }));
 }
 
 kj::Promise<void>
-completion_run::Attempt()
+completion_run::StartAttempt()
 {
   ++mAttempts;
   return mPlacer.Place(mRequest, mFailedEndpoints)
-    .then([this](placement aPlacement) {
+    .then([this](placement_result aPlacement) {
       return StartPlacedAttempt(kj::mv(aPlacement));
     });
 }
 
 kj::Promise<void>
-completion_run::StartPlacedAttempt(placement aPlacement)
+completion_run::StartPlacedAttempt(placement_result aPlacement)
 {
   if (aPlacement.mReservedEndpoints.empty()) {
     return RetryOrFail(aPlacement.mFailureReason,
@@ -135,12 +136,12 @@
                        aPlacement.mUsesRetryBudget);
   }
   mReservedEndpoints = kj::mv(aPlacement.mReservedEndpoints);
-  mMembers.clear();
+  mMemberAddresses.clear();
   mText.clear();
   mCursor = { mReservedEndpoints.front().mAttempt, 0 };
   std::string names;
-  for (const place& one : mReservedEndpoints) {
-    names += (names.empty() ? "" : ",") + one.mEndpoint;
+  for (const reserved_endpoint& reserved : mReservedEndpoints) {
+    names += (names.empty() ? "" : ",") + reserved.mEndpoint;
   }
   Log(log_level::Info,
       "placed",
@@ -168,19 +169,22 @@
 }
 
 kj::Promise<void>
-completion_run::RetryOrFail(failure aWhy, bool aMayRetry, bool aIsFailure)
+completion_run::RetryOrFail(failure aFailure,
+                            bool aMayRetry,
+                            bool aUsesRetryBudget)
 {
   mLeaseRenewal = nullptr;
   mReservedEndpoints.clear();
   const policy& rules = mRequest.mHead.mPolicy;
-  // Having found no room has its own pace, the waits in the agents' queues;
-  // the budget is for failures, which could come back at once and in masses.
+  // Only retries after failures spend the retry budget, because failures can
+  // return immediately and in large numbers. Retries after a refusal for lack
+  // of room are paced by the waits in the agents' queues.
   const bool canRetry = aMayRetry && mDeliveredChunks == 0 &&
                         mAttempts < MaxAttempts() &&
-                        (!aIsFailure || SpendRetry(mBoard.mRetries));
-  aWhy.mRan = mRan;
+                        (!aUsesRetryBudget || SpendRetry(mBoard.mRetries));
+  aFailure.mRan = mRan;
   if (!canRetry) {
-    FinishWithFailure(std::move(aWhy));
+    FinishWithFailure(std::move(aFailure));
     return kj::READY_NOW;
   }
   const duration pause =
@@ -193,12 +197,12 @@
     decision_kind::Retry,
     fmt::format("attempt {} ended with {}: {}; another in {:.3f} s",
                 mAttempts,
-                AnswerFor(aWhy.mKind).mName,
-                aWhy.mMessage,
+                AnswerFor(aFailure.mKind).mName,
+                aFailure.mMessage,
                 Seconds(pause)),
     mRequest.mHead.mPath,
     { "attempts", "backoff_s", "retry_budget" });
-  return Delay(pause).then([this]() { return Attempt(); });
+  return Delay(pause).then([this]() { return StartAttempt(); });
 }
 
 kj::Promise<void>
@@ -223,7 +227,7 @@
   }
   return kj::joinPromises(holds.releaseAsArray())
     .then([this](kj::Array<std::string> aAddresses) {
-      mMembers.assign(aAddresses.begin(), aAddresses.end());
+      mMemberAddresses.assign(aAddresses.begin(), aAddresses.end());
     });
 }
 
@@ -234,29 +238,31 @@
   wire::Work::Builder work = start.initWork();
   work.setPrompt(DataOf(mRequest.mPrompt));
   work.setRemainingMs(RemainingToWire(RemainingTime()));
-  auto members = work.initMembers(static_cast<unsigned>(mMembers.size()));
+  auto members =
+    work.initMembers(static_cast<unsigned>(mMemberAddresses.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
-    members.set(i, mMembers[i]);
+    members.set(i, mMemberAddresses[i]);
   }
   start.setSink(kj::heap<chunk_sink>(weak_from_this()));
-  // Once it is sent, only the agent's word that it did not run counts.
-  const ran_state before = mRan;
+  // Once the request is sent, only the agent's statement that it did not run
+  // may reset the state to its value before.
+  const ran_state ranBefore = mRan;
   mRan = mRan == ran_state::Yes ? ran_state::Yes : ran_state::Unknown;
   return start.send().then(
-    [this, before](capnp::Response<wire::Ticket::StartResults> aResponse) {
+    [this, ranBefore](capnp::Response<wire::Ticket::StartResults> aResponse) {
       const wire::Ending::Reader ending = aResponse.getEnding();
       const ran_state ran = FromWire(ending.getRan());
       if (ran == ran_state::No && mCursor.mNext == 0) {
-        mRan = before;
+        mRan = ranBefore;
       } else if (ran == ran_state::Yes) {
         mRan = ran_state::Yes;
       }
       if (ending.getComplete()) {
         return HandleAttemptEnd(std::nullopt, ending.getChunks());
       }
-      const std::string named = TextFrom(ending.getErrorKind());
+      const std::string errorName = TextFrom(ending.getErrorKind());
       return HandleAttemptEnd(
-        failure{ KindNamed(named).value_or(error_kind::EndpointFailed),
+        failure{ KindNamed(errorName).value_or(error_kind::EndpointFailed),
                  TextFrom(ending.getErrorMessage()),
                  mRan,
                  std::nullopt },
@@ -281,8 +287,8 @@
         { "attempt", mCursor.mAttempt },
         { "endpoint", mReservedEndpoints.front().mEndpoint },
         { "why", aProblem->mMessage } });
-  for (const place& one : mReservedEndpoints) {
-    mFailedEndpoints.insert(one.mEndpoint);
+  for (const reserved_endpoint& reserved : mReservedEndpoints) {
+    mFailedEndpoints.insert(reserved.mEndpoint);
   }
   if (mDeliveredChunks > 0) {
     aProblem->mKind = error_kind::StreamBroken;
@@ -290,15 +296,16 @@
   return RetryOrFail(std::move(*aProblem), true, true);
 }
 
-/// The agent's word that the answer is complete can overtake its last chunks,
-/// which wait for a slow caller.
+/// Waits for all chunks of a complete answer: the agent's result can arrive
+/// before the last chunks, which are delayed by back-pressure from a slow
+/// caller.
 kj::Promise<void>
 completion_run::WaitForAllChunks(std::uint64_t aChunks)
 {
   if (mCursor.mNext >= aChunks) {
     return kj::READY_NOW;
   }
-  mExpected = aChunks;
+  mExpectedChunks = aChunks;
   kj::PromiseFulfillerPair<void> pair = kj::newPromiseAndFulfiller<void>();
   mAllChunksReceived = kj::mv(pair.fulfiller);
   return kj::mv(pair.promise);
@@ -310,7 +317,7 @@
                              std::string aText)
 {
   const chunk_verdict verdict = AcceptChunk(mCursor, aAttempt, aSequence);
-  if (mOver || verdict == chunk_verdict::Stale) {
+  if (mFinished || verdict == chunk_verdict::Stale) {
     mBoard.mMetrics.Count("primrose_stale_chunks_total");
     return kj::READY_NOW;
   }
@@ -332,20 +339,20 @@
     mText += aText;
   }
   KJ_IF_MAYBE (fulfiller, mAllChunksReceived) {
-    if (mCursor.mNext >= mExpected) {
+    if (mCursor.mNext >= mExpectedChunks) {
       (*fulfiller)->fulfill();
     }
   }
   return WaitForCallerToRead();
 }
 
-/// Resolves when the caller has taken enough. Until then the agent's stream,
-/// and by it the engine's connection, stand still: a caller that does not read
-/// must not fill this process's memory.
+/// Resolves when few enough bytes are unsent to the caller. Until then the
+/// agent stops reading from the engine, so that a caller that does not read
+/// cannot fill this process's memory.
 kj::Promise<void>
 completion_run::WaitForCallerToRead()
 {
-  if (mOver || mExchange->Backlog() <= kMaxUnsentBytes) {
+  if (mFinished || mExchange->Backlog() <= kMaxUnsentBytes) {
     return kj::READY_NOW;
   }
   return Delay(kUnsentBytesPollInterval).then([this]() {
@@ -385,19 +392,19 @@
 {
   auto renew = mReservedEndpoints[aIndex].mTicket.renewRequest();
   renew.setRemainingMs(RemainingToWire(RemainingTime()));
-  // A renewal that fails changes nothing here: the agent ends what it no
-  // longer holds, and that end comes with the answer of `start`.
+  // A failed renewal needs no handling here: the agent ends work whose
+  // reservation has expired, and reports that in the result of `start`.
   return renew.send().ignoreResult().catch_([](kj::Exception&&) {});
 }
 
 void
 completion_run::Finish()
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
-  mOver = true;
-  const double took = Seconds(mClock.Now() - mStarted);
+  mFinished = true;
+  const double seconds = Seconds(mClock.Now() - mStarted);
   mBoard.mMetrics.Count(
     Labelled("primrose_requests_total", "outcome", "complete"));
   RecordDecision(
@@ -407,7 +414,7 @@
     decision_kind::Finish,
     fmt::format("whole answer of {} chunks in {:.3f} s, {} attempts",
                 mCursor.mNext,
-                took,
+                seconds,
                 mAttempts));
   Log(log_level::Info,
       "request_finished",
@@ -415,7 +422,7 @@
         { "organisation", mRequest.mShape.mOrganisation },
         { "prompt_tokens", mRequest.mShape.mPromptTokens },
         { "chunks", mCursor.mNext },
-        { "seconds", took } });
+        { "seconds", seconds } });
   const json usage = { { "prompt_tokens", mRequest.mShape.mPromptTokens },
                        { "completion_tokens", mCursor.mNext } };
   const json body = { { "id", mRequest.mHead.mId },
@@ -433,25 +440,26 @@
 }
 
 void
-completion_run::FinishWithFailure(failure aWhy)
+completion_run::FinishWithFailure(failure aFailure)
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
-  mOver = true;
+  mFinished = true;
   RecordRequestFailure(mBoard,
                        mClock,
                        mRequest.mHead.mId,
                        mRequest.mHead.mPath,
                        "primrose_requests_total",
                        "request_failed",
-                       aWhy);
+                       aFailure);
   if (!mExchange->IsStreaming()) {
-    mExchange->AnswerFailure(aWhy);
+    mExchange->AnswerFailure(aFailure);
     return;
   }
-  // Said in the stream, and no [DONE] follows: it never looks complete.
-  mExchange->Send(FormatEvent(ErrorBody(aWhy).dump()));
+  // Sends the error as an event without a final [DONE], so that the answer
+  // cannot be taken for a complete one.
+  mExchange->Send(FormatEvent(ErrorBody(aFailure).dump()));
   mExchange->EndStream();
 }
 
--- a/Services/Entry/CompletionRun.h
+++ b/Services/Entry/CompletionRun.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The life of one completion request, from admission to its answer.
+/// Handles one admitted completion request: placement, the streaming of the
+/// answer, lease renewal, retries and the final answer.
 
 #include "Placer.h"
 
@@ -12,7 +13,7 @@
 {
 public:
   completion_run(const clock_source& aClock,
-                 entry_state& aBoard,
+                 entry_state& aState,
                  placer& aPlacer,
                  std::shared_ptr<http_exchange> aExchange,
                  completion_request aRequest);
@@ -20,19 +21,22 @@
   completion_run(const completion_run&) = delete;
   completion_run& operator=(const completion_run&) = delete;
 
-  /// Runs to the answer, the deadline or the caller's hang-up, whichever comes
-  /// first. Dropping the promise frees everything at the agents.
+  /// Resolves once the caller is answered, the deadline is reached or the
+  /// caller closes its connection, whichever comes first. Dropping the promise
+  /// releases all reservations at the agents.
   kj::Promise<void> Run();
 
-  /// A chunk from an agent; resolves when the next may come.
+  /// Handles a chunk from an agent; resolves when the agent may send the next.
   kj::Promise<void> ReceiveChunk(const std::string& aAttempt,
                                  std::uint64_t aSequence,
                                  std::string aText);
 
 private:
-  kj::Promise<void> Attempt();
-  kj::Promise<void> StartPlacedAttempt(placement aPlacement);
-  kj::Promise<void> RetryOrFail(failure aWhy, bool aMayRetry, bool aIsFailure);
+  kj::Promise<void> StartAttempt();
+  kj::Promise<void> StartPlacedAttempt(placement_result aPlacement);
+  kj::Promise<void> RetryOrFail(failure aFailure,
+                                bool aMayRetry,
+                                bool aUsesRetryBudget);
   unsigned MaxAttempts() const;
   kj::Promise<void> StartMemberEngines();
   kj::Promise<void> StartLeadEngine();
@@ -44,7 +48,7 @@
   void RecordFirstChunk();
   kj::Promise<void> WaitForCallerToRead();
   void Finish();
-  void FinishWithFailure(failure aWhy);
+  void FinishWithFailure(failure aFailure);
   duration RemainingTime() const;
 
   const clock_source& mClock;
@@ -53,18 +57,17 @@
   std::shared_ptr<http_exchange> mExchange;
   completion_request mRequest;
   time_point mStarted;
-  std::vector<place> mReservedEndpoints;
-  std::vector<std::string> mMembers;
+  std::vector<reserved_endpoint> mReservedEndpoints;
+  std::vector<std::string> mMemberAddresses; ///< Of the member engines.
   std::set<std::string>
-    mFailedEndpoints; ///< Endpoints under which attempts failed.
-  stream_cursor mCursor;
-  std::string mText;
-  std::uint64_t mDeliveredChunks =
-    0; ///< Chunks passed on to a streaming caller.
+    mFailedEndpoints;    ///< Endpoints at which attempts failed.
+  stream_cursor mCursor; ///< The current attempt and its next chunk.
+  std::string mText;     ///< The answer so far, if it is not streamed.
+  std::uint64_t mDeliveredChunks = 0; ///< Chunks sent to a streaming caller.
   ran_state mRan = ran_state::No;
   unsigned mAttempts = 0;
-  bool mOver = false;
-  std::uint64_t mExpected = 0;
+  bool mFinished = false;
+  std::uint64_t mExpectedChunks = 0;
   kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> mAllChunksReceived;
   kj::Maybe<kj::Promise<void>> mLeaseRenewal;
 };
--- a/Services/Entry/EntryService.cpp
+++ b/Services/Entry/EntryService.cpp
@@ -13,12 +13,12 @@
 entry_state
 MakeEntryState(node_settings aSettings, settings_tree aTree)
 {
-  entry_state board;
-  board.mSettings = std::move(aSettings);
-  board.mTree = std::move(aTree);
-  board.mRandom.seed(FreshSeed());
-  board.mRetries.mLevel = kMostSavedRetries;
-  return board;
+  entry_state state;
+  state.mSettings = std::move(aSettings);
+  state.mTree = std::move(aTree);
+  state.mRandom.seed(FreshSeed());
+  state.mRetries.mLevel = kMostSavedRetries;
+  return state;
 }
 
 } // namespace
@@ -60,7 +60,7 @@
 {
   const std::string id = mRequestIds.Next();
   aExchange->SetHeader("X-Request-Id", id);
-  const std::string callers = aExchange->Header("X-Request-Id");
+  const std::string callersId = aExchange->Header("X-Request-Id");
   leaf::try_handle_all(
     [&]() -> result<void> {
       if (mBoard.mLeaving) {
@@ -78,7 +78,7 @@
       Log(log_level::Info,
           "request_refused",
           { { "request", id },
-            { "callers_id", callers },
+            { "callers_id", callersId },
             { "kind", kind },
             { "why", aFailure.mMessage } });
       mBoard.mMetrics.Count(Labelled("primrose_refused_total", "kind", kind));
@@ -123,10 +123,10 @@
           aRequest.mShape.Need(),
           mClock.Now());
   if (verdict.mVerdict != admission_verdict::Admitted) {
-    const bool rate = verdict.mVerdict == admission_verdict::OverRate;
+    const bool overRate = verdict.mVerdict == admission_verdict::OverRate;
     return Fail({ error_kind::RateLimited,
                   fmt::format("the organisation is over {} at this entry",
-                              rate ? "tokens_per_s" : "concurrent_tokens"),
+                              overRate ? "tokens_per_s" : "concurrent_tokens"),
                   ran_state::No,
                   verdict.mRetryAfterSeconds });
   }
@@ -237,11 +237,12 @@
     mBoard.mDecisions.Find(aRequest);
   if (records == nullptr) {
     const std::string_view owner = OwnerOf(aRequest);
-    const bool elsewhere = !owner.empty() && owner != mBoard.mSettings.mName;
+    const bool ownedElsewhere =
+      !owner.empty() && owner != mBoard.mSettings.mName;
     aExchange->AnswerFailure(
       { error_kind::NotFound,
-        elsewhere ? fmt::format("ask the entry \"{}\"", owner)
-                  : "this entry knows no such request (any more)",
+        ownedElsewhere ? fmt::format("ask the entry \"{}\"", owner)
+                       : "this entry knows no such request (any more)",
         ran_state::No,
         std::nullopt });
     return;
--- a/Services/Entry/EntryService.h
+++ b/Services/Entry/EntryService.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The entry's HTTP face: callers' requests, operators' questions.
+/// The entry's HTTP interface for callers' requests and operators' commands.
 
 #include "CallRun.h"
 #include "CompletionRun.h"
@@ -17,7 +17,8 @@
 
   void Start();
   void Handle(std::shared_ptr<http_exchange> aExchange);
-  /// Refuses new requests; `aDrained` is called when nothing is in flight.
+  /// Refuses new requests. The constructor's `aDrained` is called once nothing
+  /// is in flight.
   void Drain();
 
 private:
@@ -47,7 +48,7 @@
   kj::TaskSet mTasks{ mFailures };
 };
 
-/// A request's decision records as JSON, for `explain`.
+/// A request's decision records as JSON, for the `/explain/` path.
 json
 RecordsToJson(const std::vector<decision_record>& aRecords);
 
--- a/Services/Entry/EntryState.cpp
+++ b/Services/Entry/EntryState.cpp
@@ -5,7 +5,7 @@
 namespace primrose::entry {
 
 void
-RecordDecision(entry_state& aBoard,
+RecordDecision(entry_state& aState,
                const clock_source& aClock,
                const std::string& aRequest,
                decision_kind aKind,
@@ -17,38 +17,39 @@
   decision_record record;
   record.mKind = aKind;
   record.mTime = aClock.Wall();
-  record.mRevision = aBoard.mTree.Revision();
+  record.mRevision = aState.mTree.Revision();
   record.mText = std::move(aText);
   record.mAlternatives = std::move(aAlternatives);
-  const policy resolved = aBoard.mTree.Resolve(aPath);
+  const policy resolved = aState.mTree.Resolve(aPath);
   for (const std::string& name : aSettings) {
     const policy_value* const value = FindPolicyValue(name);
     if (value != nullptr) {
       record.mCauses.push_back({ name,
-                                 aBoard.mTree.OriginOf(aPath, name),
+                                 aState.mTree.OriginOf(aPath, name),
                                  resolved.*(value->mMember) });
     }
   }
-  aBoard.mDecisions.Add(aRequest, std::move(record));
+  aState.mDecisions.Add(aRequest, std::move(record));
 }
 
 void
-RecordRequestFailure(entry_state& aBoard,
+RecordRequestFailure(entry_state& aState,
                      const clock_source& aClock,
                      const std::string& aRequest,
                      const tree_path& aPath,
                      std::string_view aFamily,
                      std::string_view aEvent,
-                     const failure& aWhy)
+                     const failure& aFailure)
 {
-  const std::string_view kind = AnswerFor(aWhy.mKind).mName;
-  aBoard.mMetrics.Count(Labelled(aFamily, "outcome", kind));
+  const std::string_view kind = AnswerFor(aFailure.mKind).mName;
+  aState.mMetrics.Count(Labelled(aFamily, "outcome", kind));
   RecordDecision(
-    aBoard,
+    aState,
     aClock,
     aRequest,
     decision_kind::Finish,
-    fmt::format("{}: {} (ran: {})", kind, aWhy.mMessage, RanName(aWhy.mRan)),
+    fmt::format(
+      "{}: {} (ran: {})", kind, aFailure.mMessage, RanName(aFailure.mRan)),
     aPath,
     { "time_limit_s", "attempts" });
   Log(log_level::Warning,
@@ -57,8 +58,8 @@
         { "organisation", aPath.mOrganisation },
         { "service", aPath.mService },
         { "kind", kind },
-        { "ran", RanName(aWhy.mRan) },
-        { "why", aWhy.mMessage } });
+        { "ran", RanName(aFailure.mRan) },
+        { "why", aFailure.mMessage } });
 }
 
 } // namespace primrose::entry
--- a/Services/Entry/EntryState.h
+++ b/Services/Entry/EntryState.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The entry's blackboard: what its controllers (requests, the watch on the
-/// platform's list, the operators' faces) read and write. One thread.
+/// The state shared by the parts of an entry: the request handlers, the polling
+/// of the platform's list and the operators' HTTP commands. All of them run on
+/// one thread, so there are no locks.
 
 #include "LibDecision/LibDecision.h"
 #include "LibObserve/LibObserve.h"
@@ -26,9 +27,10 @@
   bool mLeaving = false;
 };
 
-/// Adds a decision to the request's record, with the settings that caused it.
+/// Adds a decision to the request's decision log, with the values and origins
+/// of the settings that it depends on.
 void
-RecordDecision(entry_state& aBoard,
+RecordDecision(entry_state& aState,
                const clock_source& aClock,
                const std::string& aRequest,
                decision_kind aKind,
@@ -37,15 +39,15 @@
                const std::vector<std::string>& aSettings = {},
                std::vector<decision_alternative> aAlternatives = {});
 
-/// Counts, records and logs a request that ends with a failure. `aFamily` is
-/// the metric; `aEvent` the log's event.
+/// Counts, records and logs a request that ended with a failure. `aFamily` is
+/// the name of the metric, `aEvent` the name of the log event.
 void
-RecordRequestFailure(entry_state& aBoard,
+RecordRequestFailure(entry_state& aState,
                      const clock_source& aClock,
                      const std::string& aRequest,
                      const tree_path& aPath,
                      std::string_view aFamily,
                      std::string_view aEvent,
-                     const failure& aWhy);
+                     const failure& aFailure);
 
 } // namespace primrose::entry
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -10,45 +10,49 @@
 
 namespace {
 
-/// A group asks more agents than it needs, since some will be full.
+/// Agents probed for each engine of a group. More than one, since some of them
+/// will be full.
 constexpr std::size_t kProbesPerMember = 3;
 constexpr double kRetryAfterSeconds = 1;
 
 } // namespace
 
+/// The state of one placement attempt.
 struct placer::search
 {
   completion_request mRequest;
   placement_rules mRules;
   engine_shape mEngine;
-  std::vector<std::string> mNames; ///< Usable endpoints, shared order.
+  std::vector<std::string> mNames; ///< Usable endpoints, in an order that all
+                                   ///< entries share.
   std::vector<candidate> mCandidates;
   std::vector<scored_candidate> mRanked;
   std::size_t mGroup = 1;
-  std::size_t mNext = 0; ///< Into `mRanked`.
-  placement mPlacement;
+  std::size_t mNext = 0; ///< Index into `mRanked` of the next to reserve.
+  placement_result mPlacement;
   std::map<std::string, refusal> mRefusals;
-  std::size_t mSilent = 0;
+  std::size_t mUnansweredCount = 0;
 };
 
 placer::placer(const clock_source& aClock,
-               entry_state& aBoard,
+               entry_state& aState,
                agent_pool& aPool,
                id_maker& aIds)
   : mClock(aClock)
-  , mBoard(aBoard)
+  , mBoard(aState)
   , mPool(aPool)
   , mIds(aIds)
 {
 }
 
-kj::Promise<placement>
+kj::Promise<placement_result>
 placer::Place(const completion_request& aRequest,
               const std::set<std::string>& aFailed)
 {
   std::shared_ptr<search> state = std::make_shared<search>();
   const work_shape& shape = aRequest.mShape;
-  // The prompt itself is not needed here, and may be megabytes.
+  // Copies only the head and shape: the prompt is not needed here and may have
+  // megabytes.
   state->mRequest.mHead = aRequest.mHead;
   state->mRequest.mShape = shape;
   state->mRules = RulesOf(aRequest.mHead.mPolicy);
@@ -88,7 +92,7 @@
   }
   return kj::joinPromises(probes.releaseAsArray())
     .then([this, state](kj::Array<std::optional<candidate>> aAnswers) {
-      return TakeAnswers(state, { aAnswers.begin(), aAnswers.end() });
+      return HandleProbeAnswers(state, { aAnswers.begin(), aAnswers.end() });
     });
 }
 
@@ -96,15 +100,15 @@
 placer::ProbeAgent(std::shared_ptr<search> aSearch, std::size_t aIndex)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.ConnectionTo(name);
-  if (link == nullptr) {
+  const std::shared_ptr<agent_link> connection = mPool.ConnectionTo(name);
+  if (connection == nullptr) {
     return std::optional<candidate>();
   }
   const work_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, hold_role::Lead);
   mBoard.mMetrics.Count("primrose_probes_sent_total");
   kj::Promise<std::optional<candidate>> answer =
-    link->Get().then([shape, aIndex](wire::Agent::Client aAgent) {
+    connection->Get().then([shape, aIndex](wire::Agent::Client aAgent) {
       auto request = aAgent.probeRequest();
       ToWire(shape, request.initQuery());
       return request.send().then(
@@ -132,17 +136,17 @@
       mBoard.mMetrics.Count("primrose_probes_lost_total");
       return std::optional<candidate>();
     })
-    .attach(link);
+    .attach(connection);
 }
 
-kj::Promise<placement>
-placer::TakeAnswers(std::shared_ptr<search> aSearch,
-                    std::vector<std::optional<candidate>> aAnswers)
+kj::Promise<placement_result>
+placer::HandleProbeAnswers(std::shared_ptr<search> aSearch,
+                           std::vector<std::optional<candidate>> aAnswers)
 {
   search& state = *aSearch;
   for (const std::optional<candidate>& answer : aAnswers) {
     if (!answer) {
-      ++state.mSilent;
+      ++state.mUnansweredCount;
       continue;
     }
     state.mCandidates.push_back(*answer);
@@ -172,9 +176,10 @@
     return MakePlacementFailure(state);
   }
   if (state.mGroup > 1) {
-    // Members are reserved in one order that all entries share. Two groups
-    // that want the same engines then meet at the first of them, and neither
-    // can hold what the other waits for.
+    // The engines of a group are reserved in an order that all entries share,
+    // which prevents deadlock: two groups that compete for the same engines
+    // both start at the first of them, so that neither holds an engine that
+    // the other one waits for.
     state.mRanked.resize(state.mGroup);
     std::sort(
       state.mRanked.begin(),
@@ -211,16 +216,16 @@
     aSearch.mRequest.mHead.mId,
     decision_kind::Place,
     fmt::format("asked {} of {} endpoints, {} did not answer; {} wanted",
-                aSearch.mCandidates.size() + aSearch.mSilent,
+                aSearch.mCandidates.size() + aSearch.mUnansweredCount,
                 aSearch.mNames.size(),
-                aSearch.mSilent,
+                aSearch.mUnansweredCount,
                 aSearch.mGroup),
     aSearch.mRequest.mHead.mPath,
     { "probes", "long_prompt_tokens", "short_protection", "long_spread" },
     std::move(alternatives));
 }
 
-kj::Promise<placement>
+kj::Promise<placement_result>
 placer::ReserveNext(std::shared_ptr<search> aSearch)
 {
   search& state = *aSearch;
@@ -231,7 +236,8 @@
   const std::size_t missing =
     state.mGroup - state.mPlacement.mReservedEndpoints.size();
   if (left < missing) {
-    // All or nothing: dropping the tickets frees what was reserved.
+    // A group is reserved as a whole or not at all: dropping the tickets
+    // releases what was reserved so far.
     state.mPlacement.mReservedEndpoints.clear();
     return MakePlacementFailure(state);
   }
@@ -252,15 +258,15 @@
                      hold_role aRole)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> link = mPool.ConnectionTo(name);
-  if (link == nullptr) {
+  const std::shared_ptr<agent_link> connection = mPool.ConnectionTo(name);
+  if (connection == nullptr) {
     return kj::READY_NOW;
   }
   const request_head head = aSearch->mRequest.mHead;
   const work_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, aRole);
   const std::string attempt = mIds.Next();
-  return link->Get()
+  return connection->Get()
     .then([this, head, shape, attempt, aRole](wire::Agent::Client aAgent) {
       const duration remaining = head.mDeadline - mClock.Now();
       const policy& rules = head.mPolicy;
@@ -269,24 +275,24 @@
                  FromSeconds(shape.mLong ? rules.mLongQueueWaitSeconds
                                          : rules.mQueueWaitSeconds));
       auto request = aAgent.reserveRequest();
-      wire::Reservation::Builder asked = request.initReservation();
-      asked.setRequest(head.mId);
-      asked.setAttempt(attempt);
-      ToWire(shape, asked.initQuery());
-      asked.setRemainingMs(RemainingToWire(remaining));
-      asked.setLeaseMs(
+      wire::Reservation::Builder reservation = request.initReservation();
+      reservation.setRequest(head.mId);
+      reservation.setAttempt(attempt);
+      ToWire(shape, reservation.initQuery());
+      reservation.setRemainingMs(RemainingToWire(remaining));
+      reservation.setLeaseMs(
         RemainingToWire(FromSeconds(head.mPolicy.mLeaseSeconds)));
-      asked.setRole(ToWire(aRole));
-      asked.setWaitMs(RemainingToWire(wait));
-      asked.setWeight(head.mPolicy.mShareWeight);
+      reservation.setRole(ToWire(aRole));
+      reservation.setWaitMs(RemainingToWire(wait));
+      reservation.setWeight(head.mPolicy.mShareWeight);
       return request.send();
     })
-    .then([this, aSearch, name, attempt, link](
+    .then([this, aSearch, name, attempt, connection](
             capnp::Response<wire::Agent::ReserveResults> aResponse) {
       const refusal answer = FromWire(aResponse.getRefusal());
       if (answer == refusal::None) {
         aSearch->mPlacement.mReservedEndpoints.push_back(
-          { name, attempt, aResponse.getTicket(), link });
+          { name, attempt, aResponse.getTicket(), connection });
         return;
       }
       aSearch->mRefusals[name] = answer;
@@ -296,49 +302,50 @@
     })
     .catch_([this, aSearch, name](kj::Exception&&) {
       NoteFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
-      ++aSearch->mSilent;
+      ++aSearch->mUnansweredCount;
     });
 }
 
-placement
+placement_result
 placer::MakePlacementFailure(const search& aSearch) const
 {
-  placement none;
-  none.mMayRetry = true;
-  none.mFailureReason.mRetryAfterSeconds = kRetryAfterSeconds;
+  placement_result unplaced;
+  unplaced.mMayRetry = true;
+  unplaced.mFailureReason.mRetryAfterSeconds = kRetryAfterSeconds;
   if (aSearch.mNames.empty()) {
-    none.mFailureReason.mKind = error_kind::NoEndpoint;
-    none.mFailureReason.mMessage =
+    unplaced.mFailureReason.mKind = error_kind::NoEndpoint;
+    unplaced.mFailureReason.mMessage =
       fmt::format("no endpoint serves \"{}\"", aSearch.mRequest.mShape.mModel);
-    return none;
+    return unplaced;
   }
-  const bool allLate = !aSearch.mRefusals.empty() && aSearch.mSilent == 0 &&
-                       std::all_of(aSearch.mRefusals.begin(),
-                                   aSearch.mRefusals.end(),
-                                   [](const auto& aItem) {
-                                     return aItem.second == refusal::TooLate;
-                                   });
-  if (allLate) {
-    double first = INFINITY;
+  const bool allTooLate = !aSearch.mRefusals.empty() &&
+                          aSearch.mUnansweredCount == 0 &&
+                          std::all_of(aSearch.mRefusals.begin(),
+                                      aSearch.mRefusals.end(),
+                                      [](const auto& aItem) {
+                                        return aItem.second == refusal::TooLate;
+                                      });
+  if (allTooLate) {
+    double earliest = INFINITY;
     for (const candidate& one : aSearch.mCandidates) {
-      first = std::min(first, one.mAnswer.mFirstTokenSeconds);
+      earliest = std::min(earliest, one.mAnswer.mFirstTokenSeconds);
     }
-    none.mFailureReason.mKind = error_kind::CannotMeetDeadline;
-    none.mFailureReason.mMessage = fmt::format(
-      "the first token would come in {:.1f} s, after the time limit", first);
-    none.mFailureReason.mRetryAfterSeconds = first;
-    none.mMayRetry = false;
-    return none;
+    unplaced.mFailureReason.mKind = error_kind::CannotMeetDeadline;
+    unplaced.mFailureReason.mMessage = fmt::format(
+      "the first token would come in {:.1f} s, after the time limit", earliest);
+    unplaced.mFailureReason.mRetryAfterSeconds = earliest;
+    unplaced.mMayRetry = false;
+    return unplaced;
   }
-  const bool silentOnly = aSearch.mRefusals.empty();
-  none.mUsesRetryBudget = silentOnly;
-  none.mFailureReason.mKind =
-    silentOnly ? error_kind::EndpointFailed : error_kind::Overloaded;
-  none.mFailureReason.mMessage =
+  const bool noneRefused = aSearch.mRefusals.empty();
+  unplaced.mUsesRetryBudget = noneRefused;
+  unplaced.mFailureReason.mKind =
+    noneRefused ? error_kind::EndpointFailed : error_kind::Overloaded;
+  unplaced.mFailureReason.mMessage =
     fmt::format("{} endpoints refused, {} did not answer",
                 aSearch.mRefusals.size(),
-                aSearch.mSilent);
-  return none;
+                aSearch.mUnansweredCount);
+  return unplaced;
 }
 
 } // namespace primrose::entry
--- a/Services/Entry/Placer.h
+++ b/Services/Entry/Placer.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Finds places for a request: probes agents, ranks them, reserves.
+/// Places a request on endpoints: probes their agents, ranks the answers and
+/// reserves memory.
 
 #include "AgentPool.h"
 #include "LibRules/LibRules.h"
@@ -13,24 +14,26 @@
 namespace primrose::entry {
 
 /// A granted reservation at one agent.
-struct place
+struct reserved_endpoint
 {
   std::string mEndpoint;
   std::string mAttempt;
   wire::Ticket::Client mTicket;
-  /// Keeps the connection for as long as the reservation is used.
-  std::shared_ptr<agent_link> mLink;
+  /// Keeps the connection open for as long as the reservation is used.
+  std::shared_ptr<agent_link> mConnection;
 };
 
-/// Places for one request: one, or the members of a group with the lead first.
-struct placement
+/// The result of one placement attempt: a single reservation, or those of a
+/// group's engines with the lead engine first.
+struct placement_result
 {
-  std::vector<place> mReservedEndpoints;
-  /// Why there is none; only read when `mReservedEndpoints` is empty.
+  std::vector<reserved_endpoint> mReservedEndpoints;
+  /// Why nothing was reserved; valid only while `mReservedEndpoints` is empty.
   failure mFailureReason;
-  /// True if trying again elsewhere or later may help.
+  /// True if a retry, elsewhere or later, may succeed.
   bool mMayRetry = false;
-  /// Agents failed, rather than had no room: trying again costs of the budget.
+  /// True unless an agent refused: a retry after failures spends the retry
+  /// budget, a retry after a refusal does not.
   bool mUsesRetryBudget = true;
 };
 
@@ -38,16 +41,16 @@
 {
 public:
   placer(const clock_source& aClock,
-         entry_state& aBoard,
+         entry_state& aState,
          agent_pool& aPool,
          id_maker& aIds);
 
-  /// One try at placing. Never fails; the answer says why there is no place.
-  /// Endpoints under which an attempt of this request failed are passed over
-  /// as long as there are enough others: their agents may not have noticed
-  /// yet that the engine is down.
-  kj::Promise<placement> Place(const completion_request& aRequest,
-                               const std::set<std::string>& aFailed);
+  /// Tries once to place a request. The promise never fails; the result gives
+  /// the reason if nothing was reserved. Endpoints at which an attempt of this
+  /// request failed (`aFailed`) are skipped as long as there are enough others,
+  /// since their agents may not have detected yet that the engine is down.
+  kj::Promise<placement_result> Place(const completion_request& aRequest,
+                                      const std::set<std::string>& aFailed);
 
 private:
   struct search;
@@ -55,14 +58,14 @@
   kj::Promise<std::optional<candidate>> ProbeAgent(
     std::shared_ptr<search> aSearch,
     std::size_t aIndex);
-  kj::Promise<placement> TakeAnswers(
+  kj::Promise<placement_result> HandleProbeAnswers(
     std::shared_ptr<search> aSearch,
     std::vector<std::optional<candidate>> aAnswers);
-  kj::Promise<placement> ReserveNext(std::shared_ptr<search> aSearch);
+  kj::Promise<placement_result> ReserveNext(std::shared_ptr<search> aSearch);
   kj::Promise<void> ReserveAgent(std::shared_ptr<search> aSearch,
                                  std::size_t aIndex,
                                  hold_role aRole);
-  placement MakePlacementFailure(const search& aSearch) const;
+  placement_result MakePlacementFailure(const search& aSearch) const;
   void RecordPlacementDecision(const search& aSearch);
 
   const clock_source& mClock;
--- a/Services/Entry/RequestParser.cpp
+++ b/Services/Entry/RequestParser.cpp
@@ -55,12 +55,12 @@
 result<void>
 CheckPromptLength(const completion_request& aRequest)
 {
-  const double longest = aRequest.mHead.mPolicy.mLongestPromptTokens;
-  if (static_cast<double>(aRequest.mShape.mPromptTokens) > longest) {
+  const double limit = aRequest.mHead.mPolicy.mLongestPromptTokens;
+  if (static_cast<double>(aRequest.mShape.mPromptTokens) > limit) {
     return Fail(error_kind::PromptTooLong,
                 fmt::format("the prompt has about {} tokens, the limit is {}",
                             aRequest.mShape.mPromptTokens,
-                            longest));
+                            limit));
   }
   return {};
 }
--- a/Services/Entry/RequestParser.h
+++ b/Services/Entry/RequestParser.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Reading callers' requests: every wrong input has its own kind of error.
+/// Parses and checks callers' requests. Each kind of invalid input is reported
+/// with its own kind of error.
 
 #include "EntryState.h"
 
@@ -8,7 +9,7 @@
 
 namespace primrose::entry {
 
-/// What every request has.
+/// The parts that completions and service calls have in common.
 struct request_head
 {
   std::string mId;
@@ -42,7 +43,7 @@
   bool operator==(const call_request&) const = default;
 };
 
-/// The organisation whose key the caller showed.
+/// The organisation whose key is in the caller's Authorization header.
 result<std::string>
 Authenticate(const settings_tree& aTree, const http_exchange& aExchange);
 
@@ -58,7 +59,8 @@
          const std::string& aId,
          time_point aNow);
 
-/// The time limit in seconds that a Request-Timeout header asks for.
+/// The time limit in seconds from the Request-Timeout header, or the policy's
+/// default if the header is absent.
 result<double>
 ReadTimeLimit(const std::string& aHeader, bool aPresent, const policy& aPolicy);
 
