--- a/Libraries/LibSettings/LibSettings.h
+++ b/Libraries/LibSettings/LibSettings.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// LibSettings: reading, checking and resolving settings. Two documents: the
-/// tree that operators change (fleet, organisation, service, workload), and
-/// the few settings of one process (its name, addresses, data centre).
+/// LibSettings: reads, checks and resolves settings. There are two kinds of
+/// document: the settings tree that operators edit (fleet, organisation,
+/// service, workload), and the settings of a single process (its name,
+/// addresses and data centre).
 
 #include "LibSettings/NodeSettings.h"
 #include "LibSettings/ObjectReader.h"
--- a/Libraries/LibSettings/NodeSettings.h
+++ b/Libraries/LibSettings/NodeSettings.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The settings of one process: who and where it is. They do not change while
-/// it runs; what operators change is in the tree.
+/// The settings of one process, such as its name and addresses. They are fixed
+/// while it runs; what operators change is in the settings tree.
 
 #include "LibSettings/ObjectReader.h"
 
@@ -21,21 +21,23 @@
   std::string mName;
   std::string mRegion;
   std::string mDataCentre;
-  std::string mHttp;     ///< Address of the HTTP listener, port 0 for any.
+  std::string mHttp;     ///< Address of the HTTP listener; port 0 lets the
+                         ///< system choose one.
   std::string mRpc;      ///< Agent: address of the RPC listener.
   std::string mPlatform; ///< Address of the platform's service.
-  std::string mTree;     ///< File with the tree of settings.
-  std::string mRpcKey;   ///< What our processes prove themselves with.
+  std::string mTree;     ///< Path of the settings tree's file.
+  std::string mRpcKey;   ///< Key with which processes authenticate RPC.
   std::string mOperatorKeyHash; ///< SHA-256 of the operators' key.
   std::string mEndpoint;        ///< Agent: address of its endpoint.
   std::string mServes;      ///< Agent: the model or plain service it serves.
-  std::string mAddressFile; ///< Where the bound addresses are written.
-  bool mIsEngine = true;    ///< Agent: a model engine, not a plain service.
+  std::string mAddressFile; ///< File to which the bound addresses are written.
+  bool mIsEngine = true; ///< Agent: serves a model engine, not a plain service.
 
   bool operator==(const node_settings&) const = default;
 };
 
-/// Reads and checks a file; the tree's path is relative to the file's folder.
+/// Reads and checks a settings file. The paths of the tree and of the address
+/// file are resolved relative to the folder of `aFile`.
 result<node_settings>
 LoadNodeSettings(const std::string& aFile, node_role aRole);
 
--- a/Libraries/LibSettings/ObjectReader.cpp
+++ b/Libraries/LibSettings/ObjectReader.cpp
@@ -26,11 +26,11 @@
 std::string
 DescribeValue(const json& aValue)
 {
-  constexpr std::size_t kLongest = 40;
+  constexpr std::size_t kMaxLength = 40;
   std::string text =
     aValue.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (text.size() > kLongest) {
-    text = text.substr(0, kLongest) + "...";
+  if (text.size() > kMaxLength) {
+    text = text.substr(0, kMaxLength) + "...";
   }
   return text;
 }
@@ -198,11 +198,12 @@
         mKnownKeys.end()) {
       continue;
     }
-    const std::optional<std::string> nearest = NearestWord(key, mKnownKeys);
+    const std::optional<std::string> similarKey = NearestWord(key, mKnownKeys);
     Report(key,
-           nearest ? fmt::format("unknown key; did you mean \"{}\"?", *nearest)
-                   : fmt::format("unknown key; expected one of: {}",
-                                 fmt::join(mKnownKeys, ", ")));
+           similarKey
+             ? fmt::format("unknown key; did you mean \"{}\"?", *similarKey)
+             : fmt::format("unknown key; expected one of: {}",
+                           fmt::join(mKnownKeys, ", ")));
   }
 }
 
--- a/Libraries/LibSettings/ObjectReader.h
+++ b/Libraries/LibSettings/ObjectReader.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Checked reading of one JSON object of settings. Every problem is collected
-/// with its path, what was expected and what was found; keys that no reader
-/// asked for are problems too.
+/// Checked reading of one JSON object of settings. All problems are collected,
+/// each with its path, the expected and the found value. Keys that were never
+/// requested are reported as unknown.
 
 #include "LibCore/LibCore.h"
 
@@ -27,7 +27,7 @@
 
 using settings_problems = std::vector<settings_problem>;
 
-/// A whole number or fraction with its unit and inclusive bounds.
+/// The inclusive bounds and the unit of a number, whole or fractional.
 struct number_range
 {
   double mLowest = 0;
@@ -38,29 +38,34 @@
 class object_reader
 {
 public:
-  /// `aObject` may be null for an absent object: then everything is absent.
+  /// A null `aObject` stands for an absent object: all its keys are absent.
   object_reader(const json* aObject,
                 std::string aPath,
                 settings_problems& aProblems);
 
+  // These return nullopt, or an empty list, if the key is absent or its value
+  // is invalid; an invalid value is reported.
   std::optional<double> Number(const std::string& aKey,
                                const number_range& aRange);
   std::optional<std::string> Text(const std::string& aKey);
   std::optional<bool> Flag(const std::string& aKey);
   std::vector<std::string> Texts(const std::string& aKey);
-  /// The child object, or null; a child that is no object is a problem.
+  /// The child object, or null if absent. A value that is not an object is
+  /// reported.
   const json* Object(const std::string& aKey);
+  /// Like `Text`, but an absent key is reported and gives an empty text.
   std::string RequiredText(const std::string& aKey);
-  /// A text that is an IP number and a port.
+  /// A required text of the form `IP-ADDRESS:PORT`.
   std::string RequiredAddress(const std::string& aKey);
 
-  /// Takes note of a key that its caller reads by itself.
+  /// Declares a key as known that the caller reads without this class.
   void Expect(const std::string& aKey) { mKnownKeys.push_back(aKey); }
 
-  /// Reports the keys that nobody asked for, with the nearest known one.
+  /// Reports every key of the object that was never requested, with the most
+  /// similar known key.
   void Finish();
   void Report(const std::string& aKey, std::string aText);
-  /// Takes over a problem that another reader found.
+  /// Adds a problem that another reader found.
   void AddProblem(settings_problem aProblem)
   {
     mProblems.push_back(std::move(aProblem));
@@ -76,15 +81,16 @@
   std::vector<std::string> mKnownKeys;
 };
 
-/// How a wrong value is shown in a message; long ones are cut.
+/// A value as JSON for error messages, cut off if it is long.
 std::string
 DescribeValue(const json& aValue);
 
-/// Parses JSON with comments. `aSource` names the text in messages.
+/// Parses JSON with comments. `aSource` is the name of the text in messages.
 result<json>
 ParseSettings(const std::string& aText, const std::string& aSource);
 
-/// Fails with `SettingsInvalid` and one line if there are problems.
+/// Fails with `SettingsInvalid` if there are problems. The message is one line
+/// with the first problem and the number of further ones.
 result<void>
 RequireNoProblems(const settings_problems& aProblems,
                   const std::string& aSource);
--- a/Libraries/LibSettings/Policy.h
+++ b/Libraries/LibSettings/Policy.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The values that a node of the settings tree may override, each with its
-/// unit, range and default. One table describes them all; reading, checking,
-/// resolving and explaining walk that table.
+/// The policy values that a node of the settings tree may override, each with
+/// its unit, range and default. A single table describes them; reading,
+/// checking, resolving and explaining settings all iterate over that table.
 
 #include "LibSettings/ObjectReader.h"
 
@@ -11,8 +11,9 @@
 
 namespace primrose {
 
-/// Effective values at one place of the tree. Times in seconds, memory and
-/// lengths in tokens.
+/// The effective values at one node of the tree. Times are in seconds, memory
+/// and lengths in tokens. The members follow the names of the settings in the
+/// table of `PolicyValues`, which also gives their meanings.
 struct policy
 {
   double mTimeLimitSeconds = 120;
@@ -44,6 +45,7 @@
   bool operator==(const policy&) const = default;
 };
 
+/// A row of the table: a setting's name and the member that stores it.
 struct policy_value
 {
   std::string_view mName;
@@ -52,7 +54,7 @@
   std::string_view mMeaning;
 };
 
-/// The table of all values, in the order of their names' first mention.
+/// The table of all policy values, in the order of their names' first mention.
 std::span<const policy_value>
 PolicyValues();
 
--- a/Libraries/LibSettings/Tree.cpp
+++ b/Libraries/LibSettings/Tree.cpp
@@ -163,7 +163,8 @@
 {
   for (const std::string& hash : aReader.Texts("key_sha256")) {
     if (!IsKeyHash(hash)) {
-      // The value is not shown: it may be a key put here by mistake.
+      // The message omits the value: it may be a key that was entered instead
+      // of its hash.
       aReader.Report("key_sha256", "expected 64 lower-case hex digits");
       continue;
     }
@@ -206,15 +207,15 @@
 void
 settings_tree::ReadService(const json& aNode,
                            const tree_path& aPath,
-                           const std::string& aWhere,
+                           const std::string& aNodePath,
                            settings_problems& aProblems)
 {
   if (!aNode.is_object()) {
     aProblems.push_back(
-      { aWhere, "expected an object, found " + DescribeValue(aNode) });
+      { aNodePath, "expected an object, found " + DescribeValue(aNode) });
     return;
   }
-  object_reader reader(&aNode, aWhere, aProblems);
+  object_reader reader(&aNode, aNodePath, aProblems);
   ReadValues(reader, aPath);
   const json* const workloads = reader.Object("workloads");
   reader.Finish();
@@ -222,13 +223,14 @@
     return;
   }
   for (const auto& [name, node] : workloads->items()) {
-    const std::string where = fmt::format("{}/workloads/{}", aWhere, name);
+    const std::string workloadPath =
+      fmt::format("{}/workloads/{}", aNodePath, name);
     if (!node.is_object()) {
       aProblems.push_back(
-        { where, "expected an object, found " + DescribeValue(node) });
+        { workloadPath, "expected an object, found " + DescribeValue(node) });
       continue;
     }
-    object_reader workload(&node, where, aProblems);
+    object_reader workload(&node, workloadPath, aProblems);
     ReadValues(workload, { aPath.mOrganisation, aPath.mService, name });
     workload.Finish();
   }
@@ -251,15 +253,16 @@
     if (isKnown || !path.mWorkload.empty()) {
       continue;
     }
-    const std::optional<std::string> nearest =
+    const std::optional<std::string> similarName =
       NearestWord(path.mService, known);
     aProblems.push_back(
       { fmt::format(
           "/organisations/{}/services/{}", path.mOrganisation, path.mService),
         fmt::format("expected a model or service of the fleet, found \"{}\"{}",
                     path.mService,
-                    nearest ? fmt::format("; did you mean \"{}\"?", *nearest)
-                            : "") });
+                    similarName
+                      ? fmt::format("; did you mean \"{}\"?", *similarName)
+                      : "") });
   }
 }
 
--- a/Libraries/LibSettings/Tree.h
+++ b/Libraries/LibSettings/Tree.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The tree of settings: fleet, organisation, service, workload. A node holds
-/// only what it overrides; everything else comes from its parent.
+/// The settings tree with the levels fleet, organisation, service and workload.
+/// A node contains only the values it overrides and inherits all others from
+/// its parent.
 
 #include "LibSettings/Policy.h"
 
@@ -11,32 +12,35 @@
 
 namespace primrose {
 
-/// What is assumed of the engines of one model. Engines publish their memory
-/// and load; how fast they read is a prior that the agent corrects.
+/// Assumptions about the engines of one model. Engines publish their memory and
+/// load. Their prefill speed is only an initial estimate, which the agent
+/// corrects by measurement.
 struct model_settings
 {
   std::string mName;
   double mEngineTokens = 400000; ///< KV memory of one engine.
   double mPrefillTokensPerSecond = 40000;
-  double mBaseStepSeconds = 0.012;      ///< A step with an empty batch.
-  double mSecondsPerSequence = 0.00015; ///< Added by each running sequence.
-  double mLargestBatch = 128;           ///< Sequences running at once.
-  double mChunkTokens = 1024;           ///< Prompt tokens read in one step.
+  double mBaseStepSeconds = 0.012; ///< Duration of a step with an empty batch.
+  double mSecondsPerSequence =
+    0.00015;                  ///< Step time added by each running sequence.
+  double mLargestBatch = 128; ///< Maximum number of sequences running at once.
+  double mChunkTokens = 1024; ///< Prompt tokens prefilled in one step.
 
   bool operator==(const model_settings&) const = default;
 };
 
-/// A plain service that the system routes to.
+/// A plain service (not a model) that calls are routed to.
 struct service_settings
 {
   std::string mName;
-  /// Paths (by prefix) whose calls must not run twice.
+  /// Path prefixes of the calls that must not run twice.
   std::vector<std::string> mGuardedPaths;
 
   bool operator==(const service_settings&) const = default;
 };
 
-/// A place in the tree; empty names stop at the level above.
+/// The path of a node in the tree. An empty name ends the path at the level
+/// above.
 struct tree_path
 {
   std::string mOrganisation;
@@ -45,22 +49,24 @@
 
   bool operator==(const tree_path&) const = default;
   bool operator<(const tree_path& aOther) const;
-  /// `fleet`, `padani`, `padani/rapporti-llm`, `padani/rapporti-llm/review`.
+  /// The path as text: `fleet`, `padani`, `padani/rapporti-llm`,
+  /// `padani/rapporti-llm/review`.
   std::string Text() const;
 };
 
 class settings_tree
 {
 public:
-  /// Checks the whole document; all problems are appended to `aProblems`.
+  /// Reads and checks the whole document. All problems are appended to
+  /// `aProblems`.
   static settings_tree Read(const json& aDocument,
                             settings_problems& aProblems);
 
-  /// The effective values at a place. Unknown names inherit from the nearest
-  /// known ancestor.
+  /// The effective values at a node. A path with unknown names inherits from
+  /// its nearest known ancestor.
   policy Resolve(const tree_path& aPath) const;
-  /// Where the effective value of a setting comes from: the path of the node
-  /// that sets it, or `default`.
+  /// The path of the node that sets the effective value of a setting, or
+  /// `default`.
   std::string OriginOf(const tree_path& aPath, std::string_view aName) const;
 
   const model_settings* Model(const std::string& aName) const;
@@ -71,7 +77,7 @@
   }
   bool HasOrganisation(const std::string& aName) const;
   std::vector<std::string> Organisations() const;
-  /// The organisation that has a key with this SHA-256 (hex), or empty.
+  /// The organisation of the key with this SHA-256 (in hex), or empty.
   std::string OrganisationOfKey(const std::string& aKeyHash) const;
 
   std::uint64_t Revision() const { return mRevision; }
@@ -81,6 +87,7 @@
 private:
   using overrides = std::map<std::string_view, double>;
 
+  /// The node's path and those of its ancestors, from the fleet down.
   std::vector<tree_path> Ancestry(const tree_path& aPath) const;
   void ReadValues(object_reader& aReader, const tree_path& aPath);
   void ReadOrganisation(const json& aNode,
@@ -88,7 +95,7 @@
                         settings_problems& aProblems);
   void ReadService(const json& aNode,
                    const tree_path& aPath,
-                   const std::string& aWhere,
+                   const std::string& aNodePath,
                    settings_problems& aProblems);
   void ReadModels(object_reader& aFleet, settings_problems& aProblems);
   void ReadServices(object_reader& aFleet, settings_problems& aProblems);
@@ -98,7 +105,7 @@
   std::map<tree_path, overrides> mNodes;
   std::map<std::string, model_settings> mModels;
   std::map<std::string, service_settings> mServices;
-  std::map<std::string, std::string> mKeys;
+  std::map<std::string, std::string> mKeys; ///< Key hash to organisation.
   std::uint64_t mRevision = 0;
   std::uint64_t mHash = 0;
 };
@@ -107,7 +114,8 @@
 result<settings_tree>
 LoadTree(const std::string& aFile);
 
-/// SHA-256 of a caller's key, in hex; settings hold only these.
+/// The SHA-256 of a caller's key, in hex. Settings contain only these hashes,
+/// never the keys.
 std::string
 KeyHash(const std::string& aKey);
 
--- a/Tests/Unit/ParserTest.cpp
+++ b/Tests/Unit/ParserTest.cpp
@@ -1,4 +1,5 @@
-/// What comes from outside: event streams, JSON bodies, addresses.
+/// Tests of the parsers for external input: event streams, JSON bodies,
+/// addresses and claim rows.
 
 #include "LibHttp/LibHttp.h"
 #include "LibStore/LibStore.h"
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -99,7 +99,8 @@
     }
   }
 
-  /// Whatever stands in a document, reading it ends with a tree or problems.
+  /// Replaces parts of a valid document by wrong values: reading must either
+  /// give a usable tree or report problems.
   void AnyDocumentIsReadOrReportsProblems()
   {
     const bool held = rc::check("settings", []() {
