--- a/Libraries/LibFleet/EngineSubset.h
+++ b/Libraries/LibFleet/EngineSubset.h
@@ -22,7 +22,7 @@
 
 #include "LibFleet/Endpoints.h"
 #include "LibFleet/EngineLedger.h"
-#include "LibFleet/NewsBudget.h"
+#include "LibFleet/PeerSendBudget.h"
 
 #include <map>
 #include <string>
--- a/Libraries/LibFleet/LibFleet.h
+++ b/Libraries/LibFleet/LibFleet.h
@@ -5,7 +5,6 @@
 /// been given to read, where a request goes, and how often it may be repeated.
 /// No I/O, no clock, no thread.
 
-#include "LibFleet/Budget.h"
 #include "LibFleet/EndpointLimits.h"
 #include "LibFleet/Endpoints.h"
 #include "LibFleet/EngineCost.h"
@@ -13,8 +12,9 @@
 #include "LibFleet/EnginePlacement.h"
 #include "LibFleet/EngineSubset.h"
 #include "LibFleet/Manifest.h"
-#include "LibFleet/NewsBudget.h"
+#include "LibFleet/PeerSendBudget.h"
 #include "LibFleet/Quarantine.h"
 #include "LibFleet/RequestDigest.h"
-#include "LibFleet/Silence.h"
-#include "LibFleet/StorePatience.h"
+#include "LibFleet/RetryBudget.h"
+#include "LibFleet/StorePolling.h"
+#include "LibFleet/StreamTimeouts.h"
--- a/Libraries/LibFleet/NewsBudget.cpp
+++ b/Libraries/LibFleet/PeerSendBudget.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/NewsBudget.h"
+#include "LibFleet/PeerSendBudget.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/Budget.cpp
+++ b/Libraries/LibFleet/RetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/Budget.h"
+#include "LibFleet/RetryBudget.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/StorePatience.cpp
+++ b/Libraries/LibFleet/StorePolling.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/StorePatience.h"
+#include "LibFleet/StorePolling.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/Silence.cpp
+++ b/Libraries/LibFleet/StreamTimeouts.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/Silence.h"
+#include "LibFleet/StreamTimeouts.h"
 
 #include <algorithm>
 
