--- a/Libraries/LibFleet/EndpointLimits.cpp
+++ b/Libraries/LibFleet/EndpointLimits.cpp
@@ -20,7 +20,7 @@
 /// the endpoint one after the other.
 constexpr duration kProbeDelay = std::chrono::seconds(10);
 /// Interval at which a limit in force is announced again.
-constexpr duration kTellPeriod = std::chrono::seconds(4);
+constexpr duration kAnnouncePeriod = std::chrono::seconds(4);
 /// Lower bound of the rate; avoids division by zero.
 constexpr double kMinRate = 0.01;
 
@@ -141,10 +141,10 @@
 }
 
 bool
-MarkLimitToldIfDue(endpoint_limit& aLimit, bool aChanged, time_point aNow)
+MarkLimitAnnouncedIfDue(endpoint_limit& aLimit, bool aChanged, time_point aNow)
 {
   const bool due =
-    aLimit.mPerSecond.has_value() && aNow - aLimit.mTold >= kTellPeriod;
+    aLimit.mPerSecond.has_value() && aNow - aLimit.mTold >= kAnnouncePeriod;
   if (!aChanged && !due) {
     return false;
   }
--- a/Libraries/LibFleet/EndpointLimits.h
+++ b/Libraries/LibFleet/EndpointLimits.h
@@ -74,6 +74,6 @@
 /// True if the limit has to be announced to the other entries, because it
 /// changed or the announcement is due again; if so, records the time.
 bool
-MarkLimitToldIfDue(endpoint_limit& aLimit, bool aChanged, time_point aNow);
+MarkLimitAnnouncedIfDue(endpoint_limit& aLimit, bool aChanged, time_point aNow);
 
 } // namespace primrose
--- a/Libraries/LibFleet/EngineSubset.h
+++ b/Libraries/LibFleet/EngineSubset.h
@@ -35,7 +35,7 @@
 /// when half of them die, and that the requests which one entry gets more of
 /// than another are spread; few enough that each of them is always told of a
 /// placement there within the bytes that operators allow.
-inline constexpr double kEntriesPerEngine = kAlwaysTold;
+inline constexpr double kEntriesPerEngine = kFullBroadcastPeers;
 /// Engines that each entry prefers at least: over twice the 17 that the longest
 /// prompts are divided over, so that they have a choice.
 inline constexpr double kEnginesPerEntry = 40;
--- a/Libraries/LibFleet/Manifest.cpp
+++ b/Libraries/LibFleet/Manifest.cpp
@@ -20,7 +20,7 @@
 
 /// The host without a port.
 std::string_view
-HostName(std::string_view aHost)
+HostWithoutPort(std::string_view aHost)
 {
   return aHost.substr(0, aHost.find(':'));
 }
@@ -48,7 +48,7 @@
                           std::string_view aTarget) const
 {
   std::string_view path = aTarget.substr(0, aTarget.find('?'));
-  const std::string_view host = HostName(aHost);
+  const std::string_view host = HostWithoutPort(aHost);
   // Each prefix ends with a slash, so only the path's slashes can end one.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
@@ -89,11 +89,11 @@
 ChooseService(const route& aRoute, double aDraw)
 {
   double sum = 0;
-  for (const service_share& share : aRoute.mServices) {
+  for (const weighted_service& share : aRoute.mServices) {
     sum += share.mWeight;
   }
   double left = aDraw * sum;
-  for (const service_share& share : aRoute.mServices) {
+  for (const weighted_service& share : aRoute.mServices) {
     left -= share.mWeight;
     if (left < 0) {
       return share.mService;
--- a/Libraries/LibFleet/Manifest.h
+++ b/Libraries/LibFleet/Manifest.h
@@ -21,12 +21,12 @@
   Stream,     ///< A series of events.
 };
 
-struct service_share
+struct weighted_service
 {
   std::string mService;
   double mWeight = 1;
 
-  bool operator==(const service_share&) const = default;
+  bool operator==(const weighted_service&) const = default;
 };
 
 struct route
@@ -39,9 +39,9 @@
   duration mObjective{};    ///< An answer within it is in time.
   duration mLongestPause{}; ///< Between two events; 0 if not declared.
   int mPriority = 0;        ///< 0 is the most urgent.
-  std::vector<service_share> mServices;
+  std::vector<weighted_service> mServices;
   unsigned mMaxAttempts = 1; ///< Endpoints that one request may be sent to.
-  bool mWithoutKey = false;  ///< Serves callers that show no key.
+  bool mAuthExempt = false;  ///< Serves callers that show no key.
   bool mResumable = false;   ///< A stream may go on at another endpoint.
 
   bool operator==(const route&) const = default;
--- a/Libraries/LibFleet/PeerSendBudget.h
+++ b/Libraries/LibFleet/PeerSendBudget.h
@@ -14,35 +14,35 @@
 namespace primrose {
 
 /// Up to so many peers, each is told, whatever it costs.
-inline constexpr std::size_t kAlwaysTold = 32;
+inline constexpr std::size_t kFullBroadcastPeers = 32;
 /// However little is left, so many are told; what that is worth at 300 entries
 /// stands in docs/CAPACITY.md.
-inline constexpr std::size_t kFewestTold = 12;
+inline constexpr std::size_t kMinRecipients = 12;
 
 /// The peers that an entry shows at each beat that it is there.
 std::size_t
-PeersPerBeat(std::size_t aPeers);
+PeersPerHeartbeat(std::size_t aPeers);
 
 /// What one entry may still send; empty at the clock's epoch.
-struct news_budget
+struct peer_send_budget
 {
   double mBytes =
     0;              ///< Below 0 where the fewest peers cost more than is there.
   time_point mAt{}; ///< As of then.
 
-  bool operator==(const news_budget&) const = default;
+  bool operator==(const peer_send_budget&) const = default;
 };
 
 /// The peers, out of `aPeers`, that a datagram of `aBytes` is sent to now. What
 /// it costs is taken out of the budget.
 std::size_t
-TakePeersToTell(news_budget& aBudget,
-                std::size_t aPeers,
-                std::size_t aBytes,
-                time_point aNow);
+TakeRecipientCount(peer_send_budget& aBudget,
+                   std::size_t aPeers,
+                   std::size_t aBytes,
+                   time_point aNow);
 
 /// Takes bytes out of the budget that were sent whatever it holds.
 void
-ChargeNews(news_budget& aBudget, std::size_t aBytes, time_point aNow);
+ChargePeerBytes(peer_send_budget& aBudget, std::size_t aBytes, time_point aNow);
 
 } // namespace primrose
--- a/Libraries/LibFleet/RetryBudget.cpp
+++ b/Libraries/LibFleet/RetryBudget.cpp
@@ -8,7 +8,7 @@
 
 /// Part of the bound that is spent: the rest covers entries that were killed
 /// and begin a new record within the same window.
-constexpr double kSpendable = 0.6;
+constexpr double kUsableFraction = 0.6;
 
 void
 Forget(std::deque<time_point>& aTimes, time_point aBefore)
@@ -21,25 +21,27 @@
 } // namespace
 
 void
-NoteRequest(repeat_record& aRecord, const repeat_bound& aBound, time_point aNow)
+RecordRequestForRetries(retry_history& aRecord,
+                        const retry_limits& aBound,
+                        time_point aNow)
 {
   Forget(aRecord.mRequests, aNow - aBound.mWindow);
   aRecord.mRequests.push_back(aNow);
 }
 
 bool
-TakeRepeat(repeat_record& aRecord,
-           const repeat_bound& aBound,
-           std::size_t aEntries,
-           time_point aNow)
+TakeRetry(retry_history& aRecord,
+          const retry_limits& aBound,
+          std::size_t aEntries,
+          time_point aNow)
 {
   Forget(aRecord.mRequests, aNow - aBound.mWindow);
   Forget(aRecord.mRepeats, aNow - aBound.mWindow);
-  const double share =
-    aBound.mFixed / static_cast<double>(std::max<std::size_t>(aEntries, 1));
+  const double share = aBound.mRetriesPerWindow /
+                       static_cast<double>(std::max<std::size_t>(aEntries, 1));
   const double allowed =
-    kSpendable * (share + aBound.mPerRequest *
-                            static_cast<double>(aRecord.mRequests.size()));
+    kUsableFraction * (share + aBound.mRetriesPerRequest *
+                                 static_cast<double>(aRecord.mRequests.size()));
   if (static_cast<double>(aRecord.mRepeats.size()) + 1 > allowed) {
     return false;
   }
--- a/Libraries/LibFleet/RetryBudget.h
+++ b/Libraries/LibFleet/RetryBudget.h
@@ -11,32 +11,32 @@
 namespace primrose {
 
 /// The operator's bound on repeats, for all entries together.
-struct repeat_bound
+struct retry_limits
 {
-  double mPerRequest = 0; ///< Repeats allowed for each request.
-  double mFixed = 0;      ///< Besides, in each window.
+  double mRetriesPerRequest = 0; ///< Repeats allowed for each request.
+  double mRetriesPerWindow = 0;  ///< Besides, in each window.
   duration mWindow{};
 
-  bool operator==(const repeat_bound&) const = default;
+  bool operator==(const retry_limits&) const = default;
 };
 
 /// One entry's record of one service.
-struct repeat_record
+struct retry_history
 {
   std::deque<time_point> mRequests;
   std::deque<time_point> mRepeats;
 };
 
 void
-NoteRequest(repeat_record& aRecord,
-            const repeat_bound& aBound,
-            time_point aNow);
+RecordRequestForRetries(retry_history& aRecord,
+                        const retry_limits& aBound,
+                        time_point aNow);
 
 /// Takes one repeat if the share of one of `aEntries` entries allows it.
 bool
-TakeRepeat(repeat_record& aRecord,
-           const repeat_bound& aBound,
-           std::size_t aEntries,
-           time_point aNow);
+TakeRetry(retry_history& aRecord,
+          const retry_limits& aBound,
+          std::size_t aEntries,
+          time_point aNow);
 
 } // namespace primrose
--- a/Libraries/LibFleet/StorePolling.cpp
+++ b/Libraries/LibFleet/StorePolling.cpp
@@ -7,21 +7,21 @@
 namespace {
 
 /// One entry of the fleet in such a span hears whether the store is silent.
-constexpr duration kWaitForEachEntry = std::chrono::milliseconds(450);
+constexpr duration kWaitPerGateway = std::chrono::milliseconds(450);
 /// A lone entry has nobody to tell it, so this, and what an answer may take,
 /// bounds how old its copy gets. More often would cost calls on quiet days.
-constexpr duration kShortestWait = std::chrono::milliseconds(1800);
-constexpr duration kLongestWait = std::chrono::seconds(10);
+constexpr duration kMinLongPollWait = std::chrono::milliseconds(1800);
+constexpr duration kMaxLongPollWait = std::chrono::seconds(10);
 /// Where there are so many entries that one of them asks in each such span even
 /// so, each waits longer: calls cost the platform by the entry, and its store
 /// holds a question for 30 s at most.
-constexpr duration kWaitForEachOfMany = std::chrono::milliseconds(250);
-constexpr duration kLongestWaitOfMany = std::chrono::seconds(25);
+constexpr duration kLargeFleetWaitPerGateway = std::chrono::milliseconds(250);
+constexpr duration kLargeFleetMaxWait = std::chrono::seconds(25);
 
 /// What a peer has just been told is on its way here too. At most 1.8 s, so
 /// that a question that went silent costs less than the seconds within which a
 /// change is to be in force.
-constexpr duration kBehindPatience = std::chrono::milliseconds(450);
+constexpr duration kFirstCatchUpTimeout = std::chrono::milliseconds(450);
 constexpr unsigned kMostDoublings = 2;
 
 /// Pauses after failures: short enough that a return is noticed well within the
@@ -30,41 +30,41 @@
 /// for each table, of the 2,000 that it serves.
 constexpr duration kFirstPause = std::chrono::milliseconds(60);
 constexpr duration kLongestPause = std::chrono::milliseconds(500);
-constexpr duration kPauseForEachEntry = std::chrono::milliseconds(16);
-constexpr duration kLongestPauseOfMany = std::chrono::seconds(2);
-constexpr unsigned kMostPauseDoublings = 6;
+constexpr duration kBackoffPerGateway = std::chrono::milliseconds(16);
+constexpr duration kLargeFleetMaxBackoff = std::chrono::seconds(2);
+constexpr unsigned kMaxBackoffDoublings = 6;
 
 } // namespace
 
 duration
-QuestionWait(std::size_t aPeers, std::optional<double> aDraw)
+LongPollWait(std::size_t aPeers, std::optional<double> aDraw)
 {
   const int entries = static_cast<int>(aPeers + 1);
-  const duration longest =
-    std::clamp(kWaitForEachOfMany * entries, kLongestWait, kLongestWaitOfMany);
+  const duration longest = std::clamp(
+    kLargeFleetWaitPerGateway * entries, kMaxLongPollWait, kLargeFleetMaxWait);
   const duration wait =
-    std::clamp(kWaitForEachEntry * entries, kShortestWait, longest);
+    std::clamp(kWaitPerGateway * entries, kMinLongPollWait, longest);
   if (!aDraw.has_value()) {
     return wait;
   }
-  return kWaitForEachEntry +
-         FromSeconds(*aDraw * Seconds(wait - kWaitForEachEntry));
+  return kWaitPerGateway +
+         FromSeconds(*aDraw * Seconds(wait - kWaitPerGateway));
 }
 
 duration
-BehindPatience(unsigned aAskedInVain)
+CatchUpTimeout(unsigned aAskedInVain)
 {
-  return kBehindPatience * (1U << std::min(aAskedInVain, kMostDoublings));
+  return kFirstCatchUpTimeout * (1U << std::min(aAskedInVain, kMostDoublings));
 }
 
 duration
-PauseAfterFailure(unsigned aFailures, std::size_t aPeers, double aDraw)
+StoreBackoff(unsigned aFailures, std::size_t aPeers, double aDraw)
 {
   const duration most =
-    std::clamp(kPauseForEachEntry * static_cast<int>(aPeers + 1),
+    std::clamp(kBackoffPerGateway * static_cast<int>(aPeers + 1),
                kLongestPause,
-               kLongestPauseOfMany);
-  const unsigned doublings = std::min(aFailures, kMostPauseDoublings);
+               kLargeFleetMaxBackoff);
+  const unsigned doublings = std::min(aFailures, kMaxBackoffDoublings);
   const duration longest = std::min(kFirstPause * (1U << doublings), most);
   return FromSeconds(Seconds(longest) * (0.5 + 0.5 * aDraw));
 }
--- a/Libraries/LibFleet/StorePolling.h
+++ b/Libraries/LibFleet/StorePolling.h
@@ -17,20 +17,20 @@
 /// question after a change is held for a drawn part of the time (`aDraw`, 0 to
 /// 1), which spreads those that follow it too.
 duration
-QuestionWait(std::size_t aPeers, std::optional<double> aDraw);
+LongPollWait(std::size_t aPeers, std::optional<double> aDraw);
 
 /// Until the store is asked anew for a table of which a peer knows more, after
 /// so many such questions that brought nothing newer. A store that is slow must
 /// be given longer than the last time, or each question gives up the one
 /// before.
 duration
-BehindPatience(unsigned aAskedInVain);
+CatchUpTimeout(unsigned aAskedInVain);
 
 /// Until an entry with so many peers asks again after so many failures in a
 /// row; `aDraw` (0 to 1) spreads entries that failed at one moment. Of many
 /// entries each waits longer: the first that reaches the store again tells the
 /// others, who then ask a peer at once.
 duration
-PauseAfterFailure(unsigned aFailures, std::size_t aPeers, double aDraw);
+StoreBackoff(unsigned aFailures, std::size_t aPeers, double aDraw);
 
 } // namespace primrose
--- a/Libraries/LibFleet/StreamTimeouts.h
+++ b/Libraries/LibFleet/StreamTimeouts.h
@@ -11,10 +11,10 @@
 
 /// Until the first event of a prompt that is expected after `aExpectedMs`.
 duration
-FirstEventPatience(const engine_work& aWork, double aExpectedMs, bool aDivided);
+FirstEventTimeout(const engine_work& aWork, double aExpectedMs, bool aDivided);
 
 /// Between two events of a stream that may pause for so long.
 duration
-PausePatience(duration aAllowedPause);
+StallTimeout(duration aAllowedPause);
 
 } // namespace primrose
--- a/Libraries/LibGateway/BeliefWatch.cpp
+++ b/Libraries/LibGateway/BeliefWatch.cpp
@@ -50,7 +50,7 @@
   mHeldBefore = own;
   // What a peer has just been told is on its way here too; only what does not
   // come shows that this entry's own question has gone silent.
-  const duration patience = BehindPatience(mAskedInVain);
+  const duration patience = CatchUpTimeout(mAskedInVain);
   mTimer = mLoop.After(patience, [this, patience]() {
     mTimer = 0;
     if (!Behind()) {
@@ -68,7 +68,7 @@
 {
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
   // What a peer was told a moment earlier is not worth a line.
-  if (since.has_value() && mLoop.Now() - *since > BehindPatience(0)) {
+  if (since.has_value() && mLoop.Now() - *since > CatchUpTimeout(0)) {
     Log(log_level::Warning,
         "belief_was_behind",
         { { "belief", mName },
--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashWatch.cpp
@@ -34,7 +34,7 @@
   switch (aEffect) {
     case crash_effect::Nothing:
       return "known";
-    case crash_effect::Noted:
+    case crash_effect::Recorded:
       return "noted";
     case crash_effect::Held:
       return "held";
@@ -121,7 +121,7 @@
 void
 crash_watch::Start()
 {
-  mTable.Learn([this](const std::vector<held_request>& aHeld) {
+  mTable.Learn([this](const std::vector<quarantined_request>& aHeld) {
     HearHeld(aHeld, "platform");
     mBoard.mQuarantineKnown = true;
     LetWaitingGo();
@@ -260,7 +260,7 @@
 crash_watch::Report(const crash_report& aReport)
 {
   const time_point now = mLoop.Now();
-  const crash_effect effect = NoteCrash(mBoard.mQuarantine, aReport, now);
+  const crash_effect effect = RecordCrash(mBoard.mQuarantine, aReport, now);
   Log(log_level::Info,
       "request_suspected",
       { { "digest", DigestText(aReport.mRequest) },
@@ -289,7 +289,7 @@
   if (cases != mCases.end()) {
     OnGone(std::string(cases->first), "told");
   }
-  switch (NoteCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
+  switch (RecordCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
     case crash_effect::Held:
       OnHeld(aReport.mRequest, aHost);
       return;
@@ -297,7 +297,7 @@
       RefuteSoon(aReport.mRequest);
       return;
     case crash_effect::Nothing:
-    case crash_effect::Noted:
+    case crash_effect::Recorded:
       return;
   }
 }
@@ -320,7 +320,7 @@
 crash_watch::OnServed(request_digest aRequest)
 {
   const bool held = mBoard.mQuarantine.mHeld.contains(aRequest);
-  if (!NoteServed(mBoard.mQuarantine, aRequest, mLoop.Now())) {
+  if (!RecordAnswered(mBoard.mQuarantine, aRequest, mLoop.Now())) {
     return;
   }
   LogCleared(log_level::Warning, aRequest, "", held);
@@ -334,7 +334,7 @@
 void
 crash_watch::HearCleared(request_digest aRequest, const std::string& aHost)
 {
-  const bool held = NoteCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
+  const bool held = RecordCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
   mRefutationsDue.erase(aRequest);
   mRowsDue.erase(aRequest);
   if (held) {
@@ -346,14 +346,14 @@
 }
 
 void
-crash_watch::HearHeld(const std::vector<held_request>& aHeld,
+crash_watch::HearHeld(const std::vector<quarantined_request>& aHeld,
                       const std::string& aHost)
 {
   const time_point now = mLoop.Now();
-  for (const held_request& one : aHeld) {
-    if (ServedLately(mBoard.mQuarantine, one.mRequest, now)) {
+  for (const quarantined_request& one : aHeld) {
+    if (AnsweredRecently(mBoard.mQuarantine, one.mRequest, now)) {
       RefuteSoon(one.mRequest);
-    } else if (NoteHeld(mBoard.mQuarantine, one, now)) {
+    } else if (RecordQuarantined(mBoard.mQuarantine, one, now)) {
       OnHeld(one.mRequest, aHost);
     }
   }
@@ -367,13 +367,13 @@
   // sender holds the same.
   const time_point now = mLoop.Now();
   if (aState == 0 || mBoard.mQuarantine.mHeld.empty() ||
-      aState == HeldState(mBoard.mQuarantine)) {
+      aState == QuarantineChecksum(mBoard.mQuarantine)) {
     return;
   }
   time_point& told = mTold[aHost];
   if (now - told >= kTellAgain) {
     told = now;
-    mOutbox.TellHeld(AllHeld(mBoard.mQuarantine, now), aHost);
+    mOutbox.TellHeld(QuarantinedRequests(mBoard.mQuarantine, now), aHost);
   }
 }
 
@@ -385,15 +385,15 @@
   mRefutationsDue.emplace(aRequest, mLoop.Now() + within);
 }
 
-suspicion
+crash_score
 crash_watch::Pending(request_digest aRequest) const
 {
-  suspicion sum = 0;
+  crash_score sum = 0;
   for (const auto& [endpoint, cases] : mCases) {
     for (const open_case& one : cases) {
       if (one.mAttempt.mRequest == aRequest && one.mAttempt.mBrokeOff &&
           !one.mReached) {
-        sum += SuspicionOfEnd(one.mAttempt.mAnswering);
+        sum += ScoreOfCrash(one.mAttempt.mAnswering);
       }
     }
   }
@@ -403,7 +403,7 @@
 quarantine_verdict
 crash_watch::Verdict(request_digest aRequest) const
 {
-  return VerdictOn(
+  return QuarantineVerdictFor(
     mBoard.mQuarantine, aRequest, Pending(aRequest), mLoop.Now());
 }
 
@@ -428,7 +428,7 @@
         mNextClaim = mLoop.Now() + kClaimPause;
       } else {
         // Without an answer the store may have given the trial away as well.
-        NoteTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
+        RecordTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
       }
       Log(log_level::Warning,
           "quarantine_trial",
@@ -449,7 +449,7 @@
 {
   const time_point now = mLoop.Now();
   for (const request_digest request : TakeDue(mRefutationsDue, now)) {
-    if (ServedLately(mBoard.mQuarantine, request, now)) {
+    if (AnsweredRecently(mBoard.mQuarantine, request, now)) {
       mOutbox.TellCleared(request);
     }
   }
@@ -485,7 +485,8 @@
   std::erase_if(mTold, [this](const auto& aEntry) {
     return !mBoard.mPeers.contains(aEntry.first);
   });
-  for (const request_digest freed : ForgetOldCrashes(mBoard.mQuarantine, now)) {
+  for (const request_digest freed :
+       ExpireCrashRecords(mBoard.mQuarantine, now)) {
     LogCleared(log_level::Info, freed, "time", true);
     mRows.erase(freed);
     if (IsOwnDuty(mBoard, mSettings.mPeers.mHost, freed)) {
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashWatch.h
@@ -61,7 +61,7 @@
   void OnServed(request_digest aRequest);
 
   void HearCrash(const crash_report& aReport, const std::string& aHost);
-  void HearHeld(const std::vector<held_request>& aHeld,
+  void HearHeld(const std::vector<quarantined_request>& aHeld,
                 const std::string& aHost);
   void HearCleared(request_digest aRequest, const std::string& aHost);
   /// What a peer says of all that it holds: if that is not what this entry
@@ -85,7 +85,7 @@
     time_point mSince{};
   };
   /// What the cases would add if their endpoints turned out to have ended.
-  suspicion Pending(request_digest aRequest) const;
+  crash_score Pending(request_digest aRequest) const;
   void Check(const std::string& aEndpointId, const ip_address& aAddress);
   void OnChecked(const std::string& aEndpointId, reachability aResult);
   void Report(const crash_report& aReport);
--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -76,9 +76,9 @@
   if (!Admit()) {
     return;
   }
-  NoteRequest(mContext.mBoard.mRepeats[mService->mName],
-              mContext.mSettings.mRepeats,
-              mBegan);
+  RecordRequestForRetries(mContext.mBoard.mRepeats[mService->mName],
+                          mContext.mSettings.mRepeats,
+                          mBegan);
   mDeadlineTimer = mContext.mLoop.After(Left(), [this]() {
     mDeadlineTimer = 0;
     OnDeadline();
@@ -124,7 +124,7 @@
   mContext.mBoard.mMetrics.Count("gateway_quarantine_refusals_total");
   GiveUp(error_kind::Quarantined,
          "ends_endpoints",
-         Seconds(UntilTrial(
+         Seconds(TimeUntilTrial(
            mContext.mBoard.mQuarantine, mDigest, mContext.mLoop.Now())));
 }
 
@@ -202,7 +202,7 @@
     mOrganisation = owner->mName;
     return true;
   }
-  if (mRoute->mWithoutKey) {
+  if (mRoute->mAuthExempt) {
     return true;
   }
   Answer({ error_kind::Unauthenticated,
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -134,7 +134,7 @@
                           now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
-  if (MarkLimitToldIfDue(current, changed, now)) {
+  if (MarkLimitAnnouncedIfDue(current, changed, now)) {
     mContext.mOutbox.TellLimit(limit);
   }
 }
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -252,7 +252,7 @@
       { aReaders[i].mAddress, i < aHolders ? mMemory->Reservation() : "" });
   }
   SendTo(aWriter, helpers);
-  WatchSilence(FirstEventPatience(WorkOf(), mExpectedMs, !aReaders.empty()));
+  WatchSilence(FirstEventTimeout(WorkOf(), mExpectedMs, !aReaders.empty()));
 }
 
 bool
@@ -356,7 +356,7 @@
 exchange::WatchStall(const attempt& aAttempt)
 {
   if (mRoute->mLongestPause > duration::zero()) {
-    WatchSilence(PausePatience(mRoute->mLongestPause) + KnownReading(aAttempt));
+    WatchSilence(StallTimeout(mRoute->mLongestPause) + KnownReading(aAttempt));
   }
 }
 
@@ -464,10 +464,10 @@
 bool
 exchange::MayRepeat()
 {
-  return TakeRepeat(mContext.mBoard.mRepeats[mService->mName],
-                    mContext.mSettings.mRepeats,
-                    EntryCount(mContext.mBoard),
-                    mContext.mLoop.Now());
+  return TakeRetry(mContext.mBoard.mRepeats[mService->mName],
+                   mContext.mSettings.mRepeats,
+                   EntryCount(mContext.mBoard),
+                   mContext.mLoop.Now());
 }
 
 void
--- a/Libraries/LibGateway/GatewayBoard.h
+++ b/Libraries/LibGateway/GatewayBoard.h
@@ -22,7 +22,7 @@
   ip_address mStore;
   std::vector<std::string> mSeeds; ///< Hosts of entries to ask first.
   duration mGrace{}; ///< Between the signal to end and the forced end.
-  repeat_bound mRepeats;
+  retry_limits mRepeats;
 
   bool operator==(const gateway_settings&) const = default;
 };
@@ -62,7 +62,7 @@
   bool mQuarantineKnown = false; ///< The platform's rows of it were read.
   subset_ring mRing;             ///< Engines as listed, entries as heard from.
   bool mRingStale = false;       ///< One of the two lists has changed since.
-  std::map<std::string, repeat_record> mRepeats; ///< By service.
+  std::map<std::string, retry_history> mRepeats; ///< By service.
   std::map<std::string, peer_entry> mPeers;      ///< By host.
   bool mEntriesKnown = false;     ///< The platform's rows of them were read.
   std::size_t mEntriesListed = 0; ///< Rows of entries, this one's included.
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/NewsOutbox.cpp
@@ -121,14 +121,14 @@
 }
 
 void
-news_outbox::TellHeldToAll(const std::vector<held_request>& aHeld)
+news_outbox::TellHeldToAll(const std::vector<quarantined_request>& aHeld)
 {
   mForAll.mHeld.insert(mForAll.mHeld.end(), aHeld.begin(), aHeld.end());
   FlushToAllSoon();
 }
 
 void
-news_outbox::TellHeld(const std::vector<held_request>& aHeld,
+news_outbox::TellHeld(const std::vector<quarantined_request>& aHeld,
                       const std::string& aHost)
 {
   for (std::size_t from = 0; from < aHeld.size(); from += kMostHeldTold) {
@@ -174,7 +174,7 @@
   }
   const std::size_t sent = bytes.size() * mBoard.mPeers.size();
   // Placements go to fewer peers for a while: their bytes are what can wait.
-  ChargeNews(mBudget, sent, mLoop.Now());
+  ChargePeerBytes(mBudget, sent, mLoop.Now());
   CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
 }
 
@@ -224,7 +224,7 @@
 news_outbox::EncodeBeat(bool aNamesHosts)
 {
   peer_message message = Message();
-  message.mHeldState = HeldState(mBoard.mQuarantine);
+  message.mHeldState = QuarantineChecksum(mBoard.mQuarantine);
   if (!aNamesHosts) {
     return EncodeNews(message, mLoop.Now());
   }
@@ -269,7 +269,7 @@
                          std::size_t aBytes)
 {
   const std::size_t told =
-    TakePeersToTell(mBudget, aHosts.size(), aBytes, mLoop.Now());
+    TakeRecipientCount(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
     "gateway_news_total", "told", told == aHosts.size() ? "all" : "some"));
   CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, told * aBytes);
@@ -297,7 +297,7 @@
   // Whoever hears of no placement of this entry hears a beat now and then, each
   // in its turn.
   const std::string bytes = EncodeBeat(mBeats++ % kBeatsPerNamedHosts == 0);
-  const std::size_t told = PeersPerBeat(mBoard.mPeers.size());
+  const std::size_t told = PeersPerHeartbeat(mBoard.mPeers.size());
   std::map<std::string, peer_entry>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastBeatTold);
   for (std::size_t i = 0; i < told; ++i, ++next) {
--- a/Libraries/LibGateway/NewsOutbox.h
+++ b/Libraries/LibGateway/NewsOutbox.h
@@ -37,9 +37,9 @@
   void TellCrash(const crash_report& aReport);
   /// A request that others may hold or suspect was answered here.
   void TellCleared(request_digest aRequest);
-  void TellHeldToAll(const std::vector<held_request>& aHeld);
+  void TellHeldToAll(const std::vector<quarantined_request>& aHeld);
   /// Tells one peer all that this entry holds.
-  void TellHeld(const std::vector<held_request>& aHeld,
+  void TellHeld(const std::vector<quarantined_request>& aHeld,
                 const std::string& aHost);
   void TellLeaving();
   /// Shows one host that this entry is there.
@@ -72,7 +72,7 @@
   std::vector<engine_key> mConcerned; ///< Engines of what is gathered.
   std::string mLastBeatTold;          ///< The host.
   unsigned mBeats = 0;
-  news_budget mBudget;
+  peer_send_budget mBudget;
   bool mLeaving = false;
   told_news mForAll; ///< Not yet told.
   timer_id mForAllTimer = 0;
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerNews.cpp
@@ -20,7 +20,7 @@
 duration
 SpanBetweenBeats(std::size_t aPeers)
 {
-  const std::size_t told = PeersPerBeat(aPeers);
+  const std::size_t told = PeersPerHeartbeat(aPeers);
   return told == aPeers ? kBeat
                         : kBeat * static_cast<int>((aPeers + told - 1) / told);
 }
--- a/Libraries/LibGateway/PeerWire.h
+++ b/Libraries/LibGateway/PeerWire.h
@@ -30,7 +30,7 @@
   std::vector<engine_key> mTroubled;  ///< Endpoints that gave a bad sign.
   std::vector<told_limit> mLimits;
   std::vector<crash_report> mCrashes;
-  std::vector<held_request> mHeld;
+  std::vector<quarantined_request> mHeld;
   std::vector<request_digest> mCleared; ///< Requests that were answered.
 
   bool operator==(const told_news&) const = default;
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -31,10 +31,10 @@
   return DigestText(aRequest) + '-' + std::to_string(aTrial);
 }
 
-std::optional<held_request>
+std::optional<quarantined_request>
 ReadQuarantineKey(std::string_view aKey)
 {
-  held_request held;
+  quarantined_request held;
   const char* const end = aKey.data() + aKey.size();
   const std::from_chars_result digits =
     std::from_chars(aKey.data(), end, held.mRequest, kHex);
@@ -84,10 +84,10 @@
                    return;
                  }
                  for (const row_change<std::string>& row : reading.mRows) {
-                   const std::optional<held_request> said =
+                   const std::optional<quarantined_request> said =
                      ReadQuarantineKey(row.mKey);
                    if (said.has_value()) {
-                     held_request& held = mRead[said->mRequest];
+                     quarantined_request& held = mRead[said->mRequest];
                      held.mRequest = said->mRequest;
                      held.mTrials = std::max(held.mTrials, said->mTrials);
                    }
@@ -96,7 +96,7 @@
                    LearnFrom(NextKey(reading));
                    return;
                  }
-                 std::vector<held_request> all;
+                 std::vector<quarantined_request> all;
                  for (const auto& [request, held] : std::exchange(mRead, {})) {
                    all.push_back(held);
                  }
@@ -138,7 +138,7 @@
 quarantine_table::Remove(request_digest aRequest)
 {
   std::vector<std::string> keys = { HeldKey(aRequest) };
-  for (unsigned trial = 1; trial <= kMostTrials; ++trial) {
+  for (unsigned trial = 1; trial <= kMaxTrials; ++trial) {
     keys.push_back(TrialKey(aRequest, trial));
   }
   mCaller.Call(mAdapter.mRemoveRows(mAdapter.mQuarantineTable, keys),
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -14,7 +14,8 @@
 class quarantine_table
 {
 public:
-  using learnt = std::function<void(const std::vector<held_request>& aHeld)>;
+  using learnt =
+    std::function<void(const std::vector<quarantined_request>& aHeld)>;
   using claimed = std::function<void(write_outcome aOutcome)>;
 
   quarantine_table(event_loop& aLoop,
@@ -48,7 +49,7 @@
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
   learnt mLearnt;
-  std::map<request_digest, held_request> mRead;
+  std::map<request_digest, quarantined_request> mRead;
   std::optional<std::string> mLearnNext; ///< From this key on, at `mTryAgain`.
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
@@ -61,7 +62,7 @@
 HeldKey(request_digest aRequest);
 std::string
 TrialKey(request_digest aRequest, unsigned aTrial);
-std::optional<held_request>
+std::optional<quarantined_request>
 ReadQuarantineKey(std::string_view aKey);
 
 } // namespace primrose
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -185,7 +185,7 @@
 void
 table_follower::ReadChanges()
 {
-  const duration wait = QuestionWait(
+  const duration wait = LongPollWait(
     mBoard.mPeers.size(),
     mAfterChange ? std::optional(Uniform(mBoard.mRandom)) : std::nullopt);
   mAfterChange = false;
@@ -271,8 +271,8 @@
 table_follower::OnTrouble(const table_reading& aReading)
 {
   NoteTrouble(aReading);
-  const duration pause = PauseAfterFailure(
-    mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
+  const duration pause =
+    StoreBackoff(mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
   mTimer = mLoop.After(pause, [this]() {
     mTimer = 0;
     Ask();
--- a/Tests/Gateway/BeliefTest.cpp
+++ b/Tests/Gateway/BeliefTest.cpp
@@ -284,13 +284,13 @@
   void LoneEntrySpendsLittleOfTheBudget()
   {
     gateway_board board;
-    const repeat_bound bound{ 0, 130, std::chrono::seconds(10) };
+    const retry_limits bound{ 0, 130, std::chrono::seconds(10) };
     constexpr std::size_t kEntries = 27;
-    repeat_record record;
+    retry_history record;
     std::size_t granted = 0;
     for (int i = 0; i < 200; ++i) {
       granted +=
-        TakeRepeat(record, bound, EntryCount(board), time_point{}) ? 1U : 0U;
+        TakeRetry(record, bound, EntryCount(board), time_point{}) ? 1U : 0U;
     }
     CPPUNIT_ASSERT(granted * kEntries <= 130);
     board.mEntriesKnown = true;
--- a/Tests/Unit/FleetStateTest.cpp
+++ b/Tests/Unit/FleetStateTest.cpp
@@ -11,21 +11,21 @@
 
 } // namespace
 
-class belief_test : public CppUnit::TestFixture
+class fleet_state_test : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(belief_test);
-  CPPUNIT_TEST(StaleRowBringsNothingBack);
-  CPPUNIT_TEST(WholeListRemovesWhatIsGone);
-  CPPUNIT_TEST(ManifestOnlyGoesForward);
+  CPPUNIT_TEST_SUITE(fleet_state_test);
+  CPPUNIT_TEST(StaleRowDoesNotRestoreEndpoint);
+  CPPUNIT_TEST(FullListRemovesMissingEndpoints);
+  CPPUNIT_TEST(OlderManifestIsNotNewer);
   CPPUNIT_TEST(LongestPrefixWins);
-  CPPUNIT_TEST(WeightsAreKept);
-  CPPUNIT_TEST(EntriesShareTheBudget);
-  CPPUNIT_TEST(FailingEndpointIsAvoidedForAWhile);
-  CPPUNIT_TEST(BreakingEndpointIsAvoidedByAllEntries);
-  CPPUNIT_TEST(OneEventOfAnotherEntryIsNoSign);
-  CPPUNIT_TEST(LongAnswerOfTheStoreIsWaitedFor);
-  CPPUNIT_TEST(SomebodySoonFindsTheStoreSilent);
-  CPPUNIT_TEST(SomebodySoonFindsTheStoreBack);
+  CPPUNIT_TEST(ServiceChoiceFollowsWeights);
+  CPPUNIT_TEST(GatewaysShareRetryBudget);
+  CPPUNIT_TEST(FailingEndpointIsAvoidedTemporarily);
+  CPPUNIT_TEST(PeerReportsMakeEndpointAvoided);
+  CPPUNIT_TEST(BurstOfPeerReportsCountsOnce);
+  CPPUNIT_TEST(SlowStoreAnswerIsAwaited);
+  CPPUNIT_TEST(SomeGatewayDetectsSilentStore);
+  CPPUNIT_TEST(SomeGatewayDetectsStoreRecovery);
   CPPUNIT_TEST_SUITE_END();
 
   static endpoint Listed(const std::string& aId)
@@ -41,7 +41,7 @@
   /// Sequence: the row is removed; the platform loses its history; the whole
   /// list is read again, some seconds stale, with the row still in it.
   /// Cause: an older revision replaced a newer one.
-  void StaleRowBringsNothingBack()
+  void StaleRowDoesNotRestoreEndpoint()
   {
     endpoint_board board;
     (void)ApplyRow(board, { "e", 5, Listed("e") });
@@ -53,7 +53,7 @@
                    listing::Joined);
   }
 
-  void WholeListRemovesWhatIsGone()
+  void FullListRemovesMissingEndpoints()
   {
     endpoint_board board;
     (void)ApplyRow(board, { "a", 5, Listed("a") });
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(board.mEndpoints.contains("c"));
   }
 
-  void ManifestOnlyGoesForward()
+  void OlderManifestIsNotNewer()
   {
     manifest newer;
     newer.mVersion = 7;
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT(index.FindRoute("other.example", "/a/") == nullptr);
   }
 
-  void WeightsAreKept()
+  void ServiceChoiceFollowsWeights()
   {
     route r;
     r.mServices = { { "x", 90 }, { "y", 10 } };
@@ -111,23 +111,23 @@
     CPPUNIT_ASSERT_EQUAL(std::string("y"), ChooseService(r, 0.91));
   }
 
-  void EntriesShareTheBudget()
+  void GatewaysShareRetryBudget()
   {
-    const repeat_bound bound{ 0.2, 100, std::chrono::seconds(10) };
+    const retry_limits bound{ 0.2, 100, std::chrono::seconds(10) };
     unsigned granted = 0;
     constexpr std::size_t kEntries = 4;
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
-      repeat_record record;
+      retry_history record;
       for (int i = 0; i < 100; ++i) {
-        NoteRequest(record, bound, kStart);
-        granted += TakeRepeat(record, bound, kEntries, kStart) ? 1U : 0U;
+        RecordRequestForRetries(record, bound, kStart);
+        granted += TakeRetry(record, bound, kEntries, kStart) ? 1U : 0U;
       }
     }
     CPPUNIT_ASSERT(granted > 50);
     CPPUNIT_ASSERT(granted <= 100 + 0.2 * 400);
   }
 
-  void FailingEndpointIsAvoidedForAWhile()
+  void FailingEndpointIsAvoidedTemporarily()
   {
     known_endpoint known;
     for (int i = 0; i < 10; ++i) {
@@ -144,7 +144,7 @@
   /// whatever it is sent, so that it seems free; 29 entries send to it. Cause:
   /// each entry had to find out by itself, with requests whose second attempt
   /// met the next such engine.
-  void BreakingEndpointIsAvoidedByAllEntries()
+  void PeerReportsMakeEndpointAvoided()
   {
     known_endpoint known;
     NoteTold(known.mHealth, kStart);
@@ -171,20 +171,20 @@
   /// Mbit/s; its peers tell of newer versions; it asks for the changes, and
   /// asks anew before they have arrived, and so on. Cause: each question was
   /// given the same 450 ms, and each gave up the one before.
-  void LongAnswerOfTheStoreIsWaitedFor()
+  void SlowStoreAnswerIsAwaited()
   {
     constexpr duration kArrives = milliseconds(720);
     unsigned asked = 0;
     duration waited{};
-    while (asked < 10 && BehindPatience(asked) < kArrives) {
-      waited += BehindPatience(asked);
+    while (asked < 10 && CatchUpTimeout(asked) < kArrives) {
+      waited += CatchUpTimeout(asked);
       ++asked;
     }
     CPPUNIT_ASSERT(asked < 10);
     CPPUNIT_ASSERT(waited + kArrives < std::chrono::seconds(2));
     // A question that has gone silent is still given up in time.
-    CPPUNIT_ASSERT(BehindPatience(0) == milliseconds(450));
-    CPPUNIT_ASSERT(BehindPatience(100) < std::chrono::seconds(2));
+    CPPUNIT_ASSERT(CatchUpTimeout(0) == milliseconds(450));
+    CPPUNIT_ASSERT(CatchUpTimeout(100) < std::chrono::seconds(2));
   }
 
   /// Symptom, if it were met: no entry has a change for ten seconds, though new
@@ -192,37 +192,37 @@
   /// all entries; they ask again together; their connections go silent, all of
   /// them. Cause: each relied on the others to hear first, and all waited for
   /// the same moment.
-  void SomebodySoonFindsTheStoreSilent()
+  void SomeGatewayDetectsSilentStore()
   {
-    constexpr int kTimes = 1000;
-    constexpr duration kAsSoonAsAlone = milliseconds(2300);
+    constexpr int kRepetitions = 1000;
+    constexpr duration kMaxDetectionDelay = milliseconds(2300);
     random_engine random(1);
     for (const std::size_t entries : { 4U, 7U, 27U, 100U, 350U }) {
       int late = 0;
-      for (int i = 0; i < kTimes; ++i) {
-        duration first = QuestionWait(entries - 1, std::nullopt);
+      for (int i = 0; i < kRepetitions; ++i) {
+        duration first = LongPollWait(entries - 1, std::nullopt);
         for (std::size_t entry = 0; entry < entries; ++entry) {
-          first = std::min(first, QuestionWait(entries - 1, Uniform(random)));
+          first = std::min(first, LongPollWait(entries - 1, Uniform(random)));
         }
-        late += first > kAsSoonAsAlone ? 1 : 0;
+        late += first > kMaxDetectionDelay ? 1 : 0;
       }
-      CPPUNIT_ASSERT(late <= kTimes / 100);
+      CPPUNIT_ASSERT(late <= kRepetitions / 100);
     }
     // Without a change they stay spread, and ask as seldom as before.
-    CPPUNIT_ASSERT(QuestionWait(26, std::nullopt) == std::chrono::seconds(10));
-    CPPUNIT_ASSERT(QuestionWait(0, std::nullopt) == milliseconds(1800));
+    CPPUNIT_ASSERT(LongPollWait(26, std::nullopt) == std::chrono::seconds(10));
+    CPPUNIT_ASSERT(LongPollWait(0, std::nullopt) == milliseconds(1800));
     // More entries ask no more often together than these do.
-    CPPUNIT_ASSERT(QuestionWait(102, std::nullopt) == std::chrono::seconds(25));
-    CPPUNIT_ASSERT(QuestionWait(26, 1.0) == QuestionWait(26, std::nullopt));
+    CPPUNIT_ASSERT(LongPollWait(102, std::nullopt) == std::chrono::seconds(25));
+    CPPUNIT_ASSERT(LongPollWait(26, 1.0) == LongPollWait(26, std::nullopt));
   }
 
   /// Symptom: while the store turns 350 entries away they make all the calls
   /// that it serves. Cause: each asked twice a second, however many they were.
   /// Some entry must find the store back within a second all the
   /// same, since changes are to be in force within two.
-  void SomebodySoonFindsTheStoreBack()
+  void SomeGatewayDetectsStoreRecovery()
   {
-    constexpr unsigned kAway = 8;
+    constexpr unsigned kOutageSeconds = 8;
     random_engine random(3);
     for (const std::size_t entries : { 1U, 4U, 27U, 103U, 350U }) {
       double calls = 0;
@@ -230,16 +230,17 @@
       for (std::size_t entry = 0; entry < entries; ++entry) {
         duration at{};
         unsigned failures = 0;
-        for (; at < std::chrono::seconds(kAway); ++failures) {
-          at += PauseAfterFailure(failures, entries - 1, Uniform(random));
+        for (; at < std::chrono::seconds(kOutageSeconds); ++failures) {
+          at += StoreBackoff(failures, entries - 1, Uniform(random));
         }
         calls += failures;
-        first = std::min<duration>(first, at - std::chrono::seconds(kAway));
+        first =
+          std::min<duration>(first, at - std::chrono::seconds(kOutageSeconds));
       }
       CPPUNIT_ASSERT(first < std::chrono::seconds(1));
       // A quarter of the 2,000 reads that the store serves, for each of two
       // tables.
-      CPPUNIT_ASSERT(calls / kAway < 500);
+      CPPUNIT_ASSERT(calls / kOutageSeconds < 500);
     }
   }
 
@@ -247,7 +248,7 @@
   /// Sequence: the connections of one entry's machine are reset; it tells of a
   /// dozen broken streams on each engine. Cause: its trouble was taken for the
   /// engines'. The same for signs that are rare.
-  void OneEventOfAnotherEntryIsNoSign()
+  void BurstOfPeerReportsCountsOnce()
   {
     known_endpoint known;
     for (int i = 0; i < 12; ++i) {
@@ -262,4 +263,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(belief_test, "belief");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(fleet_state_test, "belief");
--- a/Tests/Unit/LimitTest.cpp
+++ b/Tests/Unit/LimitTest.cpp
@@ -19,10 +19,12 @@
 /// Simulates entries in front of one endpoint that names a limit in every
 /// answer. Entries restart and are cut off from the others, messages between
 /// entries are lost, and refused callers retry.
-class limited_fleet
+class rate_limit_simulation
 {
 public:
-  limited_fleet(std::size_t aEntries, double aPerSecond, std::uint64_t aSeed)
+  rate_limit_simulation(std::size_t aEntries,
+                        double aPerSecond,
+                        std::uint64_t aSeed)
     : mHosts(Hosts(aEntries))
     , mPerSecond(aPerSecond)
     , mRandom(aSeed)
@@ -39,11 +41,11 @@
     }
     for (int at = 5; at < kDuration.count(); at += 3) {
       mEvents.emplace(kStart + seconds(at),
-                      [this]() { Restart(RandomEntry()); });
+                      [this]() { Restart(RandomGateway()); });
     }
     for (int at = 7; at < kDuration.count(); at += 15) {
       mEvents.emplace(kStart + seconds(at),
-                      [this]() { CutOff(RandomEntry()); });
+                      [this]() { CutOff(RandomGateway()); });
     }
     while (!mEvents.empty()) {
       const std::function<void()> event = mEvents.begin()->second;
@@ -83,7 +85,7 @@
     unsigned mBoot = 0;
   };
 
-  std::size_t RandomEntry()
+  std::size_t RandomGateway()
   {
     return std::uniform_int_distribution<std::size_t>(0, mEntries.size() - 1)(
       mRandom);
@@ -125,7 +127,7 @@
 
   void Request(int aRetries)
   {
-    const std::size_t at = RandomEntry();
+    const std::size_t at = RandomGateway();
     entry& asked = mEntries[at];
     if (!Admits(asked.mLimit, mNow)) {
       if (aRetries > 0) {
@@ -151,7 +153,7 @@
     }
     answered.mAnswered = answered.mAnswered.value_or(mNow);
     const bool changed = Observe(aEntry, mNow);
-    if (!MarkLimitToldIfDue(answered.mLimit, changed, mNow) ||
+    if (!MarkLimitAnnouncedIfDue(answered.mLimit, changed, mNow) ||
         answered.mCutOff) {
       return;
     }
@@ -171,7 +173,7 @@
     mEntries[aEntry] = {};
     mEntries[aEntry].mBoot = boot;
     // A peer sends its known limits to a new entry.
-    const endpoint_limit known = mEntries[RandomEntry()].mLimit;
+    const endpoint_limit known = mEntries[RandomGateway()].mLimit;
     if (known.mPerSecond.has_value()) {
       mEvents.emplace(mNow + milliseconds(100), [this, aEntry, known]() {
         (void)Observe(aEntry, known.mObserved);
@@ -207,20 +209,20 @@
 class limit_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(limit_test);
-  CPPUNIT_TEST(FleetKeepsToTheLimit);
+  CPPUNIT_TEST(FleetStaysWithinLimit);
   CPPUNIT_TEST(EndedLimitIsDetectedByProbes);
-  CPPUNIT_TEST(OlderObservationChangesNothing);
+  CPPUNIT_TEST(OlderObservationIsIgnored);
   CPPUNIT_TEST(RateRoundedByPeerIsNoChange);
   CPPUNIT_TEST_SUITE_END();
 
 public:
   /// Guards against each entry using the whole limit for itself.
-  void FleetKeepsToTheLimit()
+  void FleetStaysWithinLimit()
   {
     for (const std::size_t entries : { 15, 103, 350 }) {
       for (const double rate : { 0.5, 1.0, 1.6, 4.0, 20.0 }) {
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-          limited_fleet fleet(entries, rate, seed);
+          rate_limit_simulation fleet(entries, rate, seed);
           fleet.Run(40);
           const double allowed = 1.5 * rate * 4 + 5;
           const std::string which = std::to_string(entries) + " entries, " +
@@ -269,7 +271,7 @@
     CPPUNIT_ASSERT(!ObserveLimit(limit, 5.0 / 3, kStart, kStart));
   }
 
-  void OlderObservationChangesNothing()
+  void OlderObservationIsIgnored()
   {
     endpoint_limit limit;
     CPPUNIT_ASSERT(ObserveLimit(limit, 2.0, kStart, kStart));
--- a/Tests/Unit/NewsTest.cpp
+++ b/Tests/Unit/NewsTest.cpp
@@ -36,11 +36,11 @@
 std::vector<std::size_t>
 ToldOver(std::size_t aPeers, std::size_t aPerSecond, std::chrono::seconds aFor)
 {
-  news_budget budget;
+  peer_send_budget budget;
   std::vector<std::size_t> told;
   const duration gap = duration(std::chrono::seconds(1)) / aPerSecond;
   for (time_point now = kStart; now < kStart + aFor; now += gap) {
-    told.push_back(TakePeersToTell(budget, aPeers, kShortNews, now));
+    told.push_back(TakeRecipientCount(budget, aPeers, kShortNews, now));
   }
   return told;
 }
@@ -150,7 +150,7 @@
   /// Bytes of one placement and of its end, to all whom they concern.
   static std::size_t BytesOfRequest(const sized_fleet& aFleet,
                                     std::size_t aParts,
-                                    news_budget& aBudget,
+                                    peer_send_budget& aBudget,
                                     random_engine& aRandom,
                                     time_point aNow)
   {
@@ -170,7 +170,7 @@
     std::size_t sent = 0;
     for (const peer_message& one : { news, end }) {
       const std::size_t bytes = EncodeNews(one, aNow).size();
-      sent += bytes * TakePeersToTell(aBudget, concerned, bytes, aNow);
+      sent += bytes * TakeRecipientCount(aBudget, concerned, bytes, aNow);
     }
     return sent;
   }
@@ -186,7 +186,7 @@
     constexpr std::size_t kHostsInBeat = 16;
     constexpr std::size_t kBeatsPerNamedHosts = 4;
     const sized_fleet fleet = FleetOf(aEntries, aEngines);
-    news_budget budget;
+    peer_send_budget budget;
     random_engine random(5);
     std::size_t sent = 0;
     const std::size_t requests =
@@ -202,7 +202,7 @@
     const std::size_t plain = EncodeNews(beat, kStart).size();
     beat.mHosts.assign(kHostsInBeat, "10.255.255.255");
     const std::size_t naming = EncodeNews(beat, kStart).size();
-    const std::size_t beats = PeersPerBeat(aEntries - 1) * kSeconds;
+    const std::size_t beats = PeersPerHeartbeat(aEntries - 1) * kSeconds;
     sent += beats * (naming + (kBeatsPerNamedHosts - 1) * plain) /
             kBeatsPerNamedHosts;
     return static_cast<double>(sent) / kSeconds;
@@ -287,8 +287,8 @@
     for (const size& one : { size{ 15, 23, 3.0 },
                              size{ 103, 172, 3.1 },
                              size{ 350, 1200, 4.0 } }) {
-      const double told = static_cast<double>(
-        std::min(one.mEntries - 1, static_cast<std::size_t>(kAlwaysTold)));
+      const double told = static_cast<double>(std::min(
+        one.mEntries - 1, static_cast<std::size_t>(kFullBroadcastPeers)));
       const double perEntry = static_cast<double>(one.mEngines) /
                               static_cast<double>(one.mEntries) /
                               kTellPeriodSeconds;
--- a/Tests/Unit/PlacementTest.cpp
+++ b/Tests/Unit/PlacementTest.cpp
@@ -759,16 +759,16 @@
   {
     const engine_work clip = Clip();
     for (const double expectedMs : { 100.0, 700.0, 1500.0, 9000.0 }) {
-      const duration patience = FirstEventPatience(clip, expectedMs, false);
+      const duration patience = FirstEventTimeout(clip, expectedMs, false);
       CPPUNIT_ASSERT(patience >= milliseconds(600));
       CPPUNIT_ASSERT(patience + clip.mObjective * 2 <= std::chrono::seconds(2));
     }
-    CPPUNIT_ASSERT(FirstEventPatience(clip, 100, false) == milliseconds(750));
+    CPPUNIT_ASSERT(FirstEventTimeout(clip, 100, false) == milliseconds(750));
     // Reading a divided prompt again would cost as much as it did.
-    CPPUNIT_ASSERT(FirstEventPatience(Review(200000), 1500, true) ==
+    CPPUNIT_ASSERT(FirstEventTimeout(Review(200000), 1500, true) ==
                    std::chrono::seconds(6));
-    CPPUNIT_ASSERT(PausePatience(milliseconds(250)) == milliseconds(625));
-    CPPUNIT_ASSERT(PausePatience(milliseconds(100)) == milliseconds(600));
+    CPPUNIT_ASSERT(StallTimeout(milliseconds(250)) == milliseconds(625));
+    CPPUNIT_ASSERT(StallTimeout(milliseconds(100)) == milliseconds(600));
   }
 
   void LeavingEngineGetsNothing()
--- a/Tests/Unit/QuarantineTest.cpp
+++ b/Tests/Unit/QuarantineTest.cpp
@@ -15,7 +15,7 @@
 constexpr request_digest kRequest = 0x5eed;
 
 crash_report
-EndOf(engine_key aEndpoint, bool aAnswering = false)
+CrashOf(engine_key aEndpoint, bool aAnswering = false)
 {
   return { kRequest, aEndpoint, aAnswering };
 }
@@ -23,30 +23,31 @@
 bool
 IsSent(const quarantine& aBoard, time_point aNow)
 {
-  return VerdictOn(aBoard, kRequest, 0, aNow) == quarantine_verdict::Send;
+  return QuarantineVerdictFor(aBoard, kRequest, 0, aNow) ==
+         quarantine_verdict::Send;
 }
 
 /// Entries that tell each other as LibGateway does, in virtual time: what is
 /// told takes a while and is lost now and then, and each beat shows what its
 /// sender holds. One request ends every endpoint that runs it and comes again
 /// and again, each time at another entry.
-class fleet_model
+class quarantine_simulation
 {
 public:
   struct plan
   {
     std::size_t mEntries = 0;
     std::uint64_t mSeed = 0;
-    duration mBetweenTries{}; ///< Of the request, in the whole fleet.
+    duration mResendInterval{}; ///< Of the request, in the whole fleet.
     bool mCutOff = false; ///< A tenth of the entries hears nothing for a while.
     bool mRestarts = false; ///< Half of the entries, and later all of them.
   };
 
-  explicit fleet_model(const plan& aPlan)
+  explicit quarantine_simulation(const plan& aPlan)
     : mPlan(aPlan)
     , mRandom(aPlan.mSeed)
     , mBoards(aPlan.mEntries)
-    , mUnreachedUntil(aPlan.mEntries)
+    , mPartitionedUntil(aPlan.mEntries)
     , mNextPeer(aPlan.mEntries)
   {
   }
@@ -55,10 +56,10 @@
   {
     constexpr duration kStep = milliseconds(10);
     for (mNow = kStart; mNow < kStart + aFor; mNow += kStep) {
-      Disturb();
+      InjectFaults();
       Deliver();
-      if (mNow >= mNextTry) {
-        mNextTry = mNow + mPlan.mBetweenTries;
+      if (mNow >= mNextResend) {
+        mNextResend = mNow + mPlan.mResendInterval;
         Try(Below(mRandom, mBoards.size()));
       }
       if ((mNow - kStart) % seconds(1) == duration::zero()) {
@@ -73,48 +74,48 @@
 
 private:
   /// What operators allow between the third end and the last free send.
-  static constexpr duration kContact = seconds(3);
+  static constexpr duration kMaxPropagation = seconds(3);
   /// From a send until the entry knows that the endpoint ended.
-  static constexpr duration kUntilEnd = milliseconds(250);
-  static constexpr duration kWay = milliseconds(40);
+  static constexpr duration kCrashDelay = milliseconds(250);
+  static constexpr duration kNetworkDelay = milliseconds(40);
   static constexpr double kLost = 0.03;
-  static constexpr duration kUntilRow = seconds(1);
+  static constexpr duration kTableDelay = seconds(1);
 
   struct message
   {
     time_point mAt{};
     std::size_t mTo = 0;
     std::optional<crash_report> mReport;
-    std::vector<held_request> mHeld;
+    std::vector<quarantined_request> mHeld;
     bool mOwn = false; ///< What the entry itself saw.
   };
 
-  bool InTouch(std::size_t aEntry) const
+  bool IsConnected(std::size_t aEntry) const
   {
-    return mNow >= mUnreachedUntil[aEntry] + kContact;
+    return mNow >= mPartitionedUntil[aEntry] + kMaxPropagation;
   }
 
   void Post(std::size_t aFrom, message aMessage)
   {
     const bool cut =
-      mNow < mUnreachedUntil[aFrom] || mNow < mUnreachedUntil[aMessage.mTo];
+      mNow < mPartitionedUntil[aFrom] || mNow < mPartitionedUntil[aMessage.mTo];
     if (cut || Uniform(mRandom) < kLost) {
       return;
     }
-    aMessage.mAt = mNow + kWay;
+    aMessage.mAt = mNow + kNetworkDelay;
     mWay.push_back(std::move(aMessage));
   }
 
   void Try(std::size_t aEntry)
   {
     quarantine& board = mBoards[aEntry];
-    switch (VerdictOn(board, kRequest, 0, mNow)) {
+    switch (QuarantineVerdictFor(board, kRequest, 0, mNow)) {
       case quarantine_verdict::Refuse:
         return;
       case quarantine_verdict::Try: {
         const unsigned trial = board.mHeld.at(kRequest).mTrials + 1;
         const bool granted = mTrials.insert(trial).second;
-        NoteTrial(board, kRequest, trial, mNow);
+        RecordTrial(board, kRequest, trial, mNow);
         for (std::size_t to = 0; granted && to < mBoards.size(); ++to) {
           Post(
             aEntry,
@@ -128,12 +129,12 @@
       case quarantine_verdict::Send:
         break;
     }
-    if (mThirdEnd.has_value() && mNow > *mThirdEnd + kContact &&
-        InTouch(aEntry)) {
+    if (mThirdEnd.has_value() && mNow > *mThirdEnd + kMaxPropagation &&
+        IsConnected(aEntry)) {
       ++mLateSends;
     }
     mWay.push_back(
-      { mNow + kUntilEnd, aEntry, EndOf(++mLastEndpoint), {}, true });
+      { mNow + kCrashDelay, aEntry, CrashOf(++mLastEndpoint), {}, true });
   }
 
   void Deliver()
@@ -154,13 +155,13 @@
   void Take(const message& aMessage)
   {
     quarantine& board = mBoards[aMessage.mTo];
-    for (const held_request& held : aMessage.mHeld) {
-      (void)NoteHeld(board, held, mNow);
+    for (const quarantined_request& held : aMessage.mHeld) {
+      (void)RecordQuarantined(board, held, mNow);
     }
     if (!aMessage.mReport.has_value()) {
       return;
     }
-    (void)NoteCrash(board, *aMessage.mReport, mNow);
+    (void)RecordCrash(board, *aMessage.mReport, mNow);
     if (!aMessage.mOwn) {
       return;
     }
@@ -177,11 +178,13 @@
   void Beat()
   {
     for (std::size_t from = 0; from < mBoards.size(); ++from) {
-      for (std::size_t i = 0; i < PeersPerBeat(mBoards.size() - 1); ++i) {
+      for (std::size_t i = 0; i < PeersPerHeartbeat(mBoards.size() - 1); ++i) {
         const std::size_t to = ++mNextPeer[from] % mBoards.size();
         // Who is shown another state tells what it holds.
-        if (to != from && HeldState(mBoards[from]) != HeldState(mBoards[to])) {
-          Post(to, { {}, from, {}, AllHeld(mBoards[to], mNow), false });
+        if (to != from && QuarantineChecksum(mBoards[from]) !=
+                            QuarantineChecksum(mBoards[to])) {
+          Post(to,
+               { {}, from, {}, QuarantinedRequests(mBoards[to], mNow), false });
         }
       }
     }
@@ -191,19 +194,19 @@
   {
     mBoards[aEntry] = {};
     // Its row is there a moment after it was held.
-    if (mThirdEnd.has_value() && mNow > *mThirdEnd + kUntilRow) {
+    if (mThirdEnd.has_value() && mNow > *mThirdEnd + kTableDelay) {
       const unsigned trials = mTrials.empty() ? 0 : *mTrials.rbegin();
-      (void)NoteHeld(
+      (void)RecordQuarantined(
         mBoards[aEntry], { kRequest, trials, duration::zero() }, mNow);
     }
   }
 
-  void Disturb()
+  void InjectFaults()
   {
     const duration since = mNow - kStart;
     if (mPlan.mCutOff && since == milliseconds(100)) {
       for (std::size_t i = 0; i < mBoards.size(); i += 10) {
-        mUnreachedUntil[i] = mNow + seconds(9);
+        mPartitionedUntil[i] = mNow + seconds(9);
       }
     }
     if (mPlan.mRestarts && since == seconds(20)) {
@@ -221,12 +224,12 @@
   plan mPlan;
   random_engine mRandom;
   std::vector<quarantine> mBoards;
-  std::vector<time_point> mUnreachedUntil;
+  std::vector<time_point> mPartitionedUntil;
   std::vector<std::size_t> mNextPeer;
   std::vector<message> mWay;
   std::set<unsigned> mTrials;
   time_point mNow{};
-  time_point mNextTry{};
+  time_point mNextResend{};
   engine_key mLastEndpoint = 0;
   std::size_t mEnds = 0;
   std::size_t mLateSends = 0;
@@ -238,39 +241,42 @@
 class quarantine_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(quarantine_test);
-  CPPUNIT_TEST(ThirdEndTells);
-  CPPUNIT_TEST(OneEndCountsOnceWhoeverTells);
-  CPPUNIT_TEST(RequestThatWasAnsweringIsSentOn);
-  CPPUNIT_TEST(RequestThatIsAnsweredElsewhereIsNotHeld);
-  CPPUNIT_TEST(AnswerOfLongAgoProvesNothing);
-  CPPUNIT_TEST(EndsThatAreNotCertainYetCount);
-  CPPUNIT_TEST(HeldRequestIsTriedTwiceAndNoMore);
-  CPPUNIT_TEST(AnsweredTrialClears);
+  CPPUNIT_TEST(ThirdCrashQuarantinesRequest);
+  CPPUNIT_TEST(CrashReportedTwiceCountsOnce);
+  CPPUNIT_TEST(CrashWhileAnsweringCountsLess);
+  CPPUNIT_TEST(RecentlyAnsweredRequestIsNotQuarantined);
+  CPPUNIT_TEST(OldAnswerDoesNotPreventQuarantine);
+  CPPUNIT_TEST(UnconfirmedCrashesCount);
+  CPPUNIT_TEST(QuarantinedRequestGetsTwoTrials);
+  CPPUNIT_TEST(AnsweredTrialEndsQuarantine);
   CPPUNIT_TEST(OrderOfReportsDoesNotMatter);
-  CPPUNIT_TEST(StormOfEndsIsBounded);
-  CPPUNIT_TEST(NoFleetSendsItMoreThanAllowed);
-  CPPUNIT_TEST(DigestsTellPartsApart);
+  CPPUNIT_TEST(MassCrashKeepsMemoryBounded);
+  CPPUNIT_TEST(FleetSendsCrashingRequestWithinLimit);
+  CPPUNIT_TEST(DigestsDistinguishRequestParts);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ThirdEndTells()
+  void ThirdCrashQuarantinesRequest()
   {
     quarantine board;
-    CPPUNIT_ASSERT(NoteCrash(board, EndOf(1), kStart) == crash_effect::Noted);
-    CPPUNIT_ASSERT(NoteCrash(board, EndOf(2), kStart) == crash_effect::Noted);
+    CPPUNIT_ASSERT(RecordCrash(board, CrashOf(1), kStart) ==
+                   crash_effect::Recorded);
+    CPPUNIT_ASSERT(RecordCrash(board, CrashOf(2), kStart) ==
+                   crash_effect::Recorded);
     CPPUNIT_ASSERT(IsSent(board, kStart));
-    CPPUNIT_ASSERT(NoteCrash(board, EndOf(3), kStart) == crash_effect::Held);
+    CPPUNIT_ASSERT(RecordCrash(board, CrashOf(3), kStart) ==
+                   crash_effect::Held);
     CPPUNIT_ASSERT(!IsSent(board, kStart));
-    CPPUNIT_ASSERT(VerdictOn(board, kRequest + 1, 0, kStart) ==
+    CPPUNIT_ASSERT(QuarantineVerdictFor(board, kRequest + 1, 0, kStart) ==
                    quarantine_verdict::Send);
   }
 
-  void OneEndCountsOnceWhoeverTells()
+  void CrashReportedTwiceCountsOnce()
   {
     quarantine board;
     for (int i = 0; i < 5; ++i) {
-      (void)NoteCrash(board, EndOf(1), kStart);
-      (void)NoteCrash(board, EndOf(2), kStart);
+      (void)RecordCrash(board, CrashOf(1), kStart);
+      (void)RecordCrash(board, CrashOf(2), kStart);
     }
     CPPUNIT_ASSERT(IsSent(board, kStart));
   }
@@ -280,15 +286,15 @@
   /// some events further (`last_event=19`, 21, 25). The fourth engine answered
   /// it. Had three ends been enough whatever had come of it, its caller would
   /// have been refused.
-  void RequestThatWasAnsweringIsSentOn()
+  void CrashWhileAnsweringCountsLess()
   {
     quarantine board;
     for (engine_key endpoint = 1; endpoint <= 3; ++endpoint) {
-      (void)NoteCrash(board, EndOf(endpoint, true), kStart);
+      (void)RecordCrash(board, CrashOf(endpoint, true), kStart);
     }
     CPPUNIT_ASSERT(IsSent(board, kStart));
     // A request that ends engines after its first events is held one later.
-    (void)NoteCrash(board, EndOf(4, true), kStart);
+    (void)RecordCrash(board, CrashOf(4, true), kStart);
     CPPUNIT_ASSERT(!IsSent(board, kStart));
   }
 
@@ -296,81 +302,83 @@
   /// service's three endpoints are killed at once, with the lookup in flight at
   /// each. Cause: ends of another cause look the same; but the lookup has been
   /// answered a moment before.
-  void RequestThatIsAnsweredElsewhereIsNotHeld()
+  void RecentlyAnsweredRequestIsNotQuarantined()
   {
     quarantine asked;
     quarantine other;
-    (void)NoteServed(asked, kRequest, kStart);
+    (void)RecordAnswered(asked, kRequest, kStart);
     const time_point killed = kStart + seconds(20);
     for (engine_key endpoint = 1; endpoint <= 3; ++endpoint) {
-      CPPUNIT_ASSERT(NoteCrash(asked, EndOf(endpoint), killed) ==
+      CPPUNIT_ASSERT(RecordCrash(asked, CrashOf(endpoint), killed) ==
                      crash_effect::Refuted);
-      (void)NoteCrash(other, EndOf(endpoint), killed);
+      (void)RecordCrash(other, CrashOf(endpoint), killed);
     }
     CPPUNIT_ASSERT(IsSent(asked, killed));
     // The other entry has not answered it lately, and is told.
     CPPUNIT_ASSERT(!IsSent(other, killed));
-    CPPUNIT_ASSERT(NoteCleared(other, kRequest, killed));
+    CPPUNIT_ASSERT(RecordCleared(other, kRequest, killed));
     CPPUNIT_ASSERT(IsSent(other, killed));
     // What was on its way does not bring it back.
-    (void)NoteHeld(other, { kRequest, 0, duration::zero() }, killed);
+    (void)RecordQuarantined(other, { kRequest, 0, duration::zero() }, killed);
     CPPUNIT_ASSERT(IsSent(other, killed));
   }
 
   /// A new release may fall over what the last one answered.
-  void AnswerOfLongAgoProvesNothing()
+  void OldAnswerDoesNotPreventQuarantine()
   {
     quarantine board;
-    (void)NoteServed(board, kRequest, kStart);
+    (void)RecordAnswered(board, kRequest, kStart);
     const time_point later = kStart + std::chrono::minutes(2);
     for (engine_key endpoint = 1; endpoint <= 3; ++endpoint) {
-      (void)NoteCrash(board, EndOf(endpoint), later);
+      (void)RecordCrash(board, CrashOf(endpoint), later);
     }
     CPPUNIT_ASSERT(!IsSent(board, later));
   }
 
-  void EndsThatAreNotCertainYetCount()
+  void UnconfirmedCrashesCount()
   {
     quarantine board;
-    (void)NoteCrash(board, EndOf(1), kStart);
-    (void)NoteCrash(board, EndOf(2), kStart);
-    CPPUNIT_ASSERT(VerdictOn(board, kRequest, kOfAnEnd, kStart) ==
+    (void)RecordCrash(board, CrashOf(1), kStart);
+    (void)RecordCrash(board, CrashOf(2), kStart);
+    CPPUNIT_ASSERT(QuarantineVerdictFor(board, kRequest, kCrashScore, kStart) ==
                    quarantine_verdict::Refuse);
-    CPPUNIT_ASSERT(VerdictOn(board, kRequest + 1, kOfAnEnd, kStart) ==
-                   quarantine_verdict::Send);
+    CPPUNIT_ASSERT(
+      QuarantineVerdictFor(board, kRequest + 1, kCrashScore, kStart) ==
+      quarantine_verdict::Send);
   }
 
-  void HeldRequestIsTriedTwiceAndNoMore()
+  void QuarantinedRequestGetsTwoTrials()
   {
     quarantine board;
-    (void)NoteHeld(board, { kRequest, 0, duration::zero() }, kStart);
-    CPPUNIT_ASSERT(VerdictOn(board, kRequest, 0, kStart) ==
+    (void)RecordQuarantined(board, { kRequest, 0, duration::zero() }, kStart);
+    CPPUNIT_ASSERT(QuarantineVerdictFor(board, kRequest, 0, kStart) ==
                    quarantine_verdict::Refuse);
     unsigned trials = 0;
     engine_key endpoint = 0;
     for (time_point now = kStart; now < kStart + std::chrono::hours(20);
          now += seconds(1)) {
-      if (VerdictOn(board, kRequest, 0, now) == quarantine_verdict::Try) {
-        NoteTrial(board, kRequest, ++trials, now);
-        (void)NoteCrash(board, EndOf(++endpoint), now);
+      if (QuarantineVerdictFor(board, kRequest, 0, now) ==
+          quarantine_verdict::Try) {
+        RecordTrial(board, kRequest, ++trials, now);
+        (void)RecordCrash(board, CrashOf(++endpoint), now);
       }
     }
     CPPUNIT_ASSERT_EQUAL(2U, trials);
     // Not for ever: a day later it may have been mended.
     const time_point later = kStart + std::chrono::hours(48);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 },
-                         ForgetOldCrashes(board, later).size());
+                         ExpireCrashRecords(board, later).size());
     CPPUNIT_ASSERT(IsSent(board, later));
   }
 
-  void AnsweredTrialClears()
+  void AnsweredTrialEndsQuarantine()
   {
     quarantine board;
-    (void)NoteHeld(board, { kRequest, 0, duration::zero() }, kStart);
-    const time_point due = kStart + UntilTrial(board, kRequest, kStart);
-    CPPUNIT_ASSERT(VerdictOn(board, kRequest, 0, due) ==
+    (void)RecordQuarantined(board, { kRequest, 0, duration::zero() }, kStart);
+    const time_point due = kStart + TimeUntilTrial(board, kRequest, kStart);
+    CPPUNIT_ASSERT(QuarantineVerdictFor(board, kRequest, 0, due) ==
                    quarantine_verdict::Try);
-    CPPUNIT_ASSERT(NoteServed(board, kRequest, due));
+    CPPUNIT_ASSERT(RecordAnswered(board, kRequest, due));
     CPPUNIT_ASSERT(IsSent(board, due));
   }
 
@@ -387,40 +395,42 @@
       }
       quarantine one;
       for (const crash_report& report : reports) {
-        (void)NoteCrash(one, report, kStart);
+        (void)RecordCrash(one, report, kStart);
       }
       random_engine random(*rc::gen::arbitrary<std::uint64_t>());
       std::shuffle(reports.begin(), reports.end(), random);
       quarantine other;
       for (const crash_report& report : reports) {
-        (void)NoteCrash(other, report, kStart);
+        (void)RecordCrash(other, report, kStart);
       }
       RC_ASSERT(IsSent(one, kStart) == IsSent(other, kStart));
-      RC_ASSERT(HeldState(one) == HeldState(other));
+      RC_ASSERT(QuarantineChecksum(one) == QuarantineChecksum(other));
       // What one holds, it can tell.
-      for (const held_request& held : AllHeld(one, kStart)) {
-        (void)NoteHeld(other, held, kStart);
+      for (const quarantined_request& held : QuarantinedRequests(one, kStart)) {
+        (void)RecordQuarantined(other, held, kStart);
       }
-      RC_ASSERT(HeldState(one) == HeldState(other));
+      RC_ASSERT(QuarantineChecksum(one) == QuarantineChecksum(other));
     });
   }
 
   /// All engines of a large fleet end at once, with what they worked on.
-  void StormOfEndsIsBounded()
+  void MassCrashKeepsMemoryBounded()
   {
     constexpr request_digest kInFlight = 12000;
     quarantine board;
     for (request_digest request = 1; request <= kInFlight; ++request) {
-      (void)NoteCrash(board,
-                      { request, static_cast<engine_key>(request / 10), false },
-                      kStart);
-      (void)NoteHeld(board, { request << 20, 0, duration::zero() }, kStart);
-      (void)NoteServed(board, request << 40, kStart);
+      (void)RecordCrash(
+        board,
+        { request, static_cast<engine_key>(request / 10), false },
+        kStart);
+      (void)RecordQuarantined(
+        board, { request << 20, 0, duration::zero() }, kStart);
+      (void)RecordAnswered(board, request << 40, kStart);
     }
     CPPUNIT_ASSERT(board.mSuspects.size() <= 4096);
     CPPUNIT_ASSERT(board.mHeld.size() <= 1024);
     CPPUNIT_ASSERT(board.mServed.size() <= 4096);
-    CPPUNIT_ASSERT(board.mServedOrder.size() <= 4096);
+    CPPUNIT_ASSERT(board.mAnsweredOrder.size() <= 4096);
   }
 
   /// The bound that operators set, at the sizes that they run and plan: three
@@ -428,7 +438,7 @@
   /// Each request that comes again does so at an entry drawn by lot; of what
   /// entries tell 3 in 100 are lost; a tenth of them is cut off while the first
   /// engines end, half of them are restarted later, and then all.
-  void NoFleetSendsItMoreThanAllowed()
+  void FleetSendsCrashingRequestWithinLimit()
   {
     constexpr std::size_t kAllowed = 3;
     for (const std::size_t entries : { 15U, 103U, 350U }) {
@@ -437,7 +447,7 @@
                                         milliseconds(60),
                                         milliseconds(700),
                                         milliseconds(4000) }) {
-          fleet_model fleet(
+          quarantine_simulation fleet(
             { entries, seed, between, seed % 2 == 0, seed > 2 });
           fleet.Run(seconds(70));
           CPPUNIT_ASSERT(fleet.Ends() >= 3);
@@ -450,7 +460,7 @@
     }
   }
 
-  void DigestsTellPartsApart()
+  void DigestsDistinguishRequestParts()
   {
     const request_digest one = DigestOf({ "h", "/a", "org", "body" });
     CPPUNIT_ASSERT_EQUAL(one, DigestOf({ "h", "/a", "org", "body" }));
