--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/CrashWatch.h"
+#include "LibGateway/CrashDetector.h"
 
 #include <algorithm>
 #include <utility>
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -9,7 +9,7 @@
 /// the endpoint refuses a connection, another one has its address, or it leaves
 /// the list without having said so and cannot be reached.
 
-#include "LibGateway/NewsOutbox.h"
+#include "LibGateway/GossipSender.h"
 #include "LibGateway/QuarantineTable.h"
 #include "LibGateway/ReachabilityCheck.h"
 
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -3,9 +3,9 @@
 /// One request of a caller, from its whole reading to its final answer.
 
 #include "LibGateway/Attempt.h"
-#include "LibGateway/CrashWatch.h"
+#include "LibGateway/CrashDetector.h"
+#include "LibGateway/GossipSender.h"
 #include "LibGateway/MemoryHold.h"
-#include "LibGateway/NewsOutbox.h"
 
 #include <memory>
 
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -1,6 +1,6 @@
 #include "LibGateway/Exchange.h"
 
-#include "LibGateway/LimitBoard.h"
+#include "LibGateway/LimitUpdates.h"
 
 #include <algorithm>
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -1,8 +1,8 @@
 #include "LibGateway/Gateway.h"
 
 #include "LibGateway/GatewayMetrics.h"
-#include "LibGateway/LimitBoard.h"
-#include "LibGateway/Probe.h"
+#include "LibGateway/HttpResponder.h"
+#include "LibGateway/LimitUpdates.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -3,9 +3,9 @@
 /// The whole gateway of one process.
 
 #include "LibGateway/CallerConnection.h"
-#include "LibGateway/EntryRoll.h"
-#include "LibGateway/PeerBeliefs.h"
-#include "LibGateway/PeerNews.h"
+#include "LibGateway/GatewayRegistry.h"
+#include "LibGateway/PeerGossip.h"
+#include "LibGateway/PeerSnapshot.h"
 #include "LibGateway/TableFollower.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/EntryRoll.cpp
+++ b/Libraries/LibGateway/GatewayRegistry.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/EntryRoll.h"
+#include "LibGateway/GatewayRegistry.h"
 
 #include "LibGateway/GatewayMetrics.h"
 #include "LibGateway/TableFollower.h"
--- a/Libraries/LibGateway/NewsOutbox.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -1,7 +1,7 @@
-#include "LibGateway/NewsOutbox.h"
+#include "LibGateway/GossipSender.h"
 
 #include "LibGateway/GatewayMetrics.h"
-#include "LibGateway/LimitBoard.h"
+#include "LibGateway/LimitUpdates.h"
 
 #include <algorithm>
 #include <iterator>
--- a/Libraries/LibGateway/NewsOutbox.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -4,7 +4,7 @@
 /// and sent to those whom it concerns.
 
 #include "LibGateway/GatewayBoard.h"
-#include "LibGateway/PeerWire.h"
+#include "LibGateway/PeerMessage.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/Probe.cpp
+++ b/Libraries/LibGateway/HttpResponder.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/Probe.h"
+#include "LibGateway/HttpResponder.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/LimitBoard.cpp
+++ b/Libraries/LibGateway/LimitUpdates.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/LimitBoard.h"
+#include "LibGateway/LimitUpdates.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/LimitBoard.h
+++ b/Libraries/LibGateway/LimitUpdates.h
@@ -3,7 +3,7 @@
 /// Updates the rate limits of endpoints on the gateway's board.
 
 #include "LibGateway/GatewayBoard.h"
-#include "LibGateway/PeerWire.h"
+#include "LibGateway/PeerMessage.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/PeerNews.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -1,7 +1,7 @@
-#include "LibGateway/PeerNews.h"
+#include "LibGateway/PeerGossip.h"
 
 #include "LibGateway/GatewayMetrics.h"
-#include "LibGateway/LimitBoard.h"
+#include "LibGateway/LimitUpdates.h"
 
 #include <algorithm>
 
--- a/Libraries/LibGateway/PeerNews.h
+++ b/Libraries/LibGateway/PeerGossip.h
@@ -3,8 +3,8 @@
 /// The other entries, as their datagrams show them: who is there, what each has
 /// placed where, and who knows more of the store's tables.
 
-#include "LibGateway/BeliefWatch.h"
-#include "LibGateway/CrashWatch.h"
+#include "LibGateway/CrashDetector.h"
+#include "LibGateway/StalenessDetector.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/PeerBeliefs.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -1,7 +1,7 @@
-#include "LibGateway/PeerBeliefs.h"
+#include "LibGateway/PeerSnapshot.h"
 
+#include "LibGateway/HttpResponder.h"
 #include "LibGateway/PeerNews.capnp.h"
-#include "LibGateway/Probe.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
--- a/Libraries/LibGateway/BeliefWatch.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/BeliefWatch.h"
+#include "LibGateway/StalenessDetector.h"
 
 namespace primrose {
 
--- a/Tests/Unit/NewsTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/PeerWire.h"
+#include "LibGateway/PeerMessage.h"
 #include "RingFixture.h"
 
 #include <algorithm>
