--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -9,24 +9,24 @@
 
 /// Within this a crashed endpoint is off the list: it misses three reports of
 /// one to two seconds each, and changes of the list are gathered.
-constexpr duration kCaseOpenFor = std::chrono::seconds(10);
+constexpr duration kUnresolvedFailureLifetime = std::chrono::seconds(10);
 /// The cases of one endpoint; it has some twenty slots.
-constexpr std::size_t kMostCases = 64;
+constexpr std::size_t kMaxUnresolvedPerEndpoint = 64;
 /// A request that several entries saw end endpoints is left in the table by
 /// each of them; the first to do so spares the others nothing but the check.
 /// Until then it may turn out to be sound.
-constexpr duration kBeforeRow = std::chrono::seconds(1);
+constexpr duration kTableWriteDelay = std::chrono::seconds(1);
 /// Hundreds of entries may know that a request is sound: the first one that
 /// says so spares the others saying it.
-constexpr duration kRefuteWithin = std::chrono::milliseconds(300);
+constexpr duration kClearedBroadcastWindow = std::chrono::milliseconds(300);
 /// Between two times that one peer is told all that is held.
-constexpr duration kTellAgain = std::chrono::milliseconds(500);
+constexpr duration kResyncInterval = std::chrono::milliseconds(500);
 /// After the store refused a call for a trial.
-constexpr duration kClaimPause = std::chrono::seconds(2);
+constexpr duration kClaimBackoff = std::chrono::seconds(2);
 /// An entry that starts waits so long for the store to say what is held.
-constexpr duration kLearnsWithin = std::chrono::milliseconds(500);
-constexpr duration kForgetEvery = std::chrono::seconds(1);
-constexpr duration kReportedFor = std::chrono::hours(1);
+constexpr duration kMaxStartupWait = std::chrono::milliseconds(500);
+constexpr duration kExpiryInterval = std::chrono::seconds(1);
+constexpr duration kReportedLifetime = std::chrono::hours(1);
 
 std::string_view
 EffectName(crash_effect aEffect)
@@ -47,9 +47,9 @@
 /// Whether this entry is the one, of those it knows, that does what is to be
 /// done once for a request.
 bool
-IsOwnDuty(const gateway_board& aBoard,
-          const std::string& aOwnHost,
-          request_digest aRequest)
+IsResponsibleGateway(const gateway_board& aBoard,
+                     const std::string& aOwnHost,
+                     request_digest aRequest)
 {
   const std::string key = DigestText(aRequest);
   const std::uint64_t own = RendezvousWeight(key, aOwnHost);
@@ -101,12 +101,12 @@
 
 } // namespace
 
-crash_watch::crash_watch(event_loop& aLoop,
-                         const gateway_settings& aSettings,
-                         const gateway_adapter& aAdapter,
-                         gateway_board& aBoard,
-                         endpoint_connections& aConnections,
-                         news_outbox& aOutbox)
+crash_detector::crash_detector(event_loop& aLoop,
+                               const gateway_settings& aSettings,
+                               const gateway_adapter& aAdapter,
+                               gateway_board& aBoard,
+                               endpoint_connections& aConnections,
+                               gossip_sender& aOutbox)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
@@ -116,29 +116,29 @@
 {
 }
 
-crash_watch::~crash_watch() = default;
+crash_detector::~crash_detector() = default;
 
 void
-crash_watch::Start()
+crash_detector::Start()
 {
   mTable.Learn([this](const std::vector<quarantined_request>& aHeld) {
-    HearHeld(aHeld, "platform");
+    MergeQuarantined(aHeld, "platform");
     mBoard.mQuarantineKnown = true;
-    LetWaitingGo();
+    RunWaitingCallbacks();
   });
 }
 
 void
-crash_watch::OnStoreReached()
+crash_detector::OnStoreReached()
 {
   mTable.RetryNow();
 }
 
 void
-crash_watch::WhenKnown(std::function<void()> aThen)
+crash_detector::WhenQuarantineLoaded(std::function<void()> aThen)
 {
   if (mBoard.mQuarantineKnown ||
-      mLoop.Now() - mBoard.mStarted >= kLearnsWithin) {
+      mLoop.Now() - mBoard.mStarted >= kMaxStartupWait) {
     aThen();
     return;
   }
@@ -146,7 +146,7 @@
 }
 
 void
-crash_watch::LetWaitingGo()
+crash_detector::RunWaitingCallbacks()
 {
   for (const std::function<void()>& then : std::exchange(mWaiting, {})) {
     then();
@@ -154,7 +154,7 @@
 }
 
 void
-crash_watch::OnBroken(const broken_attempt& aAttempt)
+crash_detector::OnAttemptFailed(const failed_attempt& aAttempt)
 {
   const std::string& id = aAttempt.mEndpointId;
   if (mEnded.contains(id)) {
@@ -167,65 +167,68 @@
     // It ends as planned, whatever it was doing.
     return;
   }
-  std::vector<open_case>& cases = mCases[id];
-  if (cases.size() < kMostCases) {
+  std::vector<unresolved_failure>& cases = mUnresolvedFailures[id];
+  if (cases.size() < kMaxUnresolvedPerEndpoint) {
     cases.push_back(
       { aAttempt, known->second.mListed.mAddress, false, mLoop.Now() });
   }
-  if (aAttempt.mBrokeOff) {
+  if (aAttempt.mConnectionBroke) {
     Check(id, known->second.mListed.mAddress);
   }
 }
 
 void
-crash_watch::Check(const std::string& aEndpointId, const ip_address& aAddress)
+crash_detector::Check(const std::string& aEndpointId,
+                      const ip_address& aAddress)
 {
-  if (mChecks.contains(aEndpointId)) {
+  if (mReachabilityChecks.contains(aEndpointId)) {
     return;
   }
-  mChecks[aEndpointId] = std::make_shared<reachability_check>(
+  mReachabilityChecks[aEndpointId] = std::make_shared<reachability_check>(
     mLoop, mConnections, aAddress, [this, aEndpointId](reachability aResult) {
-      mLoop.DeleteLater(std::move(mChecks[aEndpointId]));
-      mChecks.erase(aEndpointId);
-      OnChecked(std::string(aEndpointId), aResult);
+      mLoop.DeleteLater(std::move(mReachabilityChecks[aEndpointId]));
+      mReachabilityChecks.erase(aEndpointId);
+      OnReachabilityResult(std::string(aEndpointId), aResult);
     });
 }
 
 void
-crash_watch::OnChecked(const std::string& aEndpointId, reachability aResult)
+crash_detector::OnReachabilityResult(const std::string& aEndpointId,
+                                     reachability aResult)
 {
   const bool listed = mBoard.mEndpoints.mEndpoints.contains(aEndpointId);
   if (aResult == reachability::Refused) {
-    OnGone(aEndpointId, "refused");
+    OnEndpointCrashed(aEndpointId, "refused");
     return;
   }
   if (aResult == reachability::Silent) {
     if (!listed) {
-      OnGone(aEndpointId, "silent_and_unlisted");
+      OnEndpointCrashed(aEndpointId, "silent_and_unlisted");
     }
     return;
   }
   if (!listed) {
-    mCases.erase(aEndpointId);
+    mUnresolvedFailures.erase(aEndpointId);
     return;
   }
-  const auto cases = mCases.find(aEndpointId);
-  if (cases != mCases.end()) {
-    for (open_case& one : cases->second) {
+  const auto cases = mUnresolvedFailures.find(aEndpointId);
+  if (cases != mUnresolvedFailures.end()) {
+    for (unresolved_failure& one : cases->second) {
       one.mReached = true;
     }
   }
 }
 
 void
-crash_watch::OnGone(const std::string& aEndpointId, std::string_view aSeenBy)
+crash_detector::OnEndpointCrashed(const std::string& aEndpointId,
+                                  std::string_view aSeenBy)
 {
-  const auto found = mCases.find(aEndpointId);
-  if (found == mCases.end()) {
+  const auto found = mUnresolvedFailures.find(aEndpointId);
+  if (found == mUnresolvedFailures.end()) {
     return;
   }
-  const std::vector<open_case> cases = std::move(found->second);
-  mCases.erase(found);
+  const std::vector<unresolved_failure> cases = std::move(found->second);
+  mUnresolvedFailures.erase(found);
   mEnded[aEndpointId] = mLoop.Now();
   mBoard.mMetrics.Count("gateway_endpoint_crashes_total");
   Log(log_level::Warning,
@@ -233,8 +236,8 @@
       { { "endpoint", aEndpointId },
         { "seen_by", aSeenBy },
         { "requests", cases.size() },
-        { "after_ms", Milliseconds(mLoop.Now() - cases.front().mSince) } });
-  for (const open_case& one : cases) {
+        { "after_ms", Milliseconds(mLoop.Now() - cases.front().mFailedAt) } });
+  for (const unresolved_failure& one : cases) {
     Report({ one.mAttempt.mRequest,
              EngineKey(aEndpointId),
              one.mAttempt.mAnswering });
@@ -242,22 +245,22 @@
 }
 
 void
-crash_watch::OnLeaving(const std::string& aEndpointId)
+crash_detector::OnEndpointDraining(const std::string& aEndpointId)
 {
-  mCases.erase(aEndpointId);
+  mUnresolvedFailures.erase(aEndpointId);
 }
 
 void
-crash_watch::OnUnlisted(const std::string& aEndpointId)
+crash_detector::OnEndpointUnlisted(const std::string& aEndpointId)
 {
-  const auto cases = mCases.find(aEndpointId);
-  if (cases != mCases.end()) {
+  const auto cases = mUnresolvedFailures.find(aEndpointId);
+  if (cases != mUnresolvedFailures.end()) {
     Check(aEndpointId, cases->second.front().mAddress);
   }
 }
 
 void
-crash_watch::Report(const crash_report& aReport)
+crash_detector::Report(const crash_report& aReport)
 {
   const time_point now = mLoop.Now();
   const crash_effect effect = RecordCrash(mBoard.mQuarantine, aReport, now);
@@ -271,30 +274,33 @@
     return;
   }
   mReported[aReport.mRequest] = now;
-  mOutbox.TellCrash(aReport);
+  mOutbox.BroadcastCrash(aReport);
   if (effect == crash_effect::Held) {
-    OnHeld(aReport.mRequest, "");
+    OnQuarantined(aReport.mRequest, "");
   }
 }
 
 void
-crash_watch::HearCrash(const crash_report& aReport, const std::string& aHost)
+crash_detector::OnPeerCrashReport(const crash_report& aReport,
+                                  const std::string& aHost)
 {
   // What this entry had there ended with it, also if its caller had just left
   // and nothing broke here.
   const auto cases =
-    std::find_if(mCases.begin(), mCases.end(), [&aReport](const auto& aEntry) {
-      return EngineKey(aEntry.first) == aReport.mEndpoint;
-    });
-  if (cases != mCases.end()) {
-    OnGone(std::string(cases->first), "told");
+    std::find_if(mUnresolvedFailures.begin(),
+                 mUnresolvedFailures.end(),
+                 [&aReport](const auto& aEntry) {
+                   return EngineKey(aEntry.first) == aReport.mEndpoint;
+                 });
+  if (cases != mUnresolvedFailures.end()) {
+    OnEndpointCrashed(std::string(cases->first), "told");
   }
   switch (RecordCrash(mBoard.mQuarantine, aReport, mLoop.Now())) {
     case crash_effect::Held:
-      OnHeld(aReport.mRequest, aHost);
+      OnQuarantined(aReport.mRequest, aHost);
       return;
     case crash_effect::Refuted:
-      RefuteSoon(aReport.mRequest);
+      ScheduleClearedBroadcast(aReport.mRequest);
       return;
     case crash_effect::Nothing:
     case crash_effect::Recorded:
@@ -303,7 +309,8 @@
 }
 
 void
-crash_watch::OnHeld(request_digest aRequest, const std::string& aToldBy)
+crash_detector::OnQuarantined(request_digest aRequest,
+                              const std::string& aToldBy)
 {
   mBoard.mMetrics.Count("gateway_quarantined_total");
   Log(log_level::Warning,
@@ -312,19 +319,19 @@
         { "told_by", aToldBy },
         { "held", mBoard.mQuarantine.mHeld.size() } });
   if (mReported.contains(aRequest)) {
-    mRowsDue[aRequest] = mLoop.Now() + kBeforeRow;
+    mTableWritesDue[aRequest] = mLoop.Now() + kTableWriteDelay;
   }
 }
 
 void
-crash_watch::OnServed(request_digest aRequest)
+crash_detector::OnRequestAnswered(request_digest aRequest)
 {
   const bool held = mBoard.mQuarantine.mHeld.contains(aRequest);
   if (!RecordAnswered(mBoard.mQuarantine, aRequest, mLoop.Now())) {
     return;
   }
   LogCleared(log_level::Warning, aRequest, "", held);
-  mOutbox.TellCleared(aRequest);
+  mOutbox.BroadcastCleared(aRequest);
   if (held) {
     mRows.erase(aRequest);
     mTable.Remove(aRequest);
@@ -332,11 +339,11 @@
 }
 
 void
-crash_watch::HearCleared(request_digest aRequest, const std::string& aHost)
+crash_detector::OnPeerCleared(request_digest aRequest, const std::string& aHost)
 {
   const bool held = RecordCleared(mBoard.mQuarantine, aRequest, mLoop.Now());
-  mRefutationsDue.erase(aRequest);
-  mRowsDue.erase(aRequest);
+  mClearedBroadcastsDue.erase(aRequest);
+  mTableWritesDue.erase(aRequest);
   if (held) {
     LogCleared(log_level::Info, aRequest, aHost, true);
   }
@@ -346,21 +353,22 @@
 }
 
 void
-crash_watch::HearHeld(const std::vector<quarantined_request>& aHeld,
-                      const std::string& aHost)
+crash_detector::MergeQuarantined(const std::vector<quarantined_request>& aHeld,
+                                 const std::string& aHost)
 {
   const time_point now = mLoop.Now();
   for (const quarantined_request& one : aHeld) {
     if (AnsweredRecently(mBoard.mQuarantine, one.mRequest, now)) {
-      RefuteSoon(one.mRequest);
+      ScheduleClearedBroadcast(one.mRequest);
     } else if (RecordQuarantined(mBoard.mQuarantine, one, now)) {
-      OnHeld(one.mRequest, aHost);
+      OnQuarantined(one.mRequest, aHost);
     }
   }
 }
 
 void
-crash_watch::HearState(std::uint64_t aState, const std::string& aHost)
+crash_detector::OnPeerQuarantineHash(std::uint64_t aState,
+                                     const std::string& aHost)
 {
   // A datagram may be lost, an entry may have been cut off or just have
   // started: it would send what all others hold. Each beat shows whether its
@@ -371,27 +379,28 @@
     return;
   }
   time_point& told = mTold[aHost];
-  if (now - told >= kTellAgain) {
+  if (now - told >= kResyncInterval) {
     told = now;
-    mOutbox.TellHeld(QuarantinedRequests(mBoard.mQuarantine, now), aHost);
+    mOutbox.SendQuarantined(QuarantinedRequests(mBoard.mQuarantine, now),
+                            aHost);
   }
 }
 
 void
-crash_watch::RefuteSoon(request_digest aRequest)
+crash_detector::ScheduleClearedBroadcast(request_digest aRequest)
 {
   const duration within =
-    FromSeconds(Seconds(kRefuteWithin) * Uniform(mBoard.mRandom));
-  mRefutationsDue.emplace(aRequest, mLoop.Now() + within);
+    FromSeconds(Seconds(kClearedBroadcastWindow) * Uniform(mBoard.mRandom));
+  mClearedBroadcastsDue.emplace(aRequest, mLoop.Now() + within);
 }
 
 crash_score
-crash_watch::Pending(request_digest aRequest) const
+crash_detector::Pending(request_digest aRequest) const
 {
   crash_score sum = 0;
-  for (const auto& [endpoint, cases] : mCases) {
-    for (const open_case& one : cases) {
-      if (one.mAttempt.mRequest == aRequest && one.mAttempt.mBrokeOff &&
+  for (const auto& [endpoint, cases] : mUnresolvedFailures) {
+    for (const unresolved_failure& one : cases) {
+      if (one.mAttempt.mRequest == aRequest && one.mAttempt.mConnectionBroke &&
           !one.mReached) {
         sum += ScoreOfCrash(one.mAttempt.mAnswering);
       }
@@ -401,19 +410,19 @@
 }
 
 quarantine_verdict
-crash_watch::Verdict(request_digest aRequest) const
+crash_detector::Verdict(request_digest aRequest) const
 {
   return QuarantineVerdictFor(
     mBoard.mQuarantine, aRequest, Pending(aRequest), mLoop.Now());
 }
 
 void
-crash_watch::ClaimTrial(request_digest aRequest,
-                        std::function<void(bool)> aThen)
+crash_detector::ClaimTrial(request_digest aRequest,
+                           std::function<void(bool)> aThen)
 {
   const auto held = mBoard.mQuarantine.mHeld.find(aRequest);
-  if (held == mBoard.mQuarantine.mHeld.end() || mLoop.Now() < mNextClaim ||
-      !mClaiming.insert(aRequest).second) {
+  if (held == mBoard.mQuarantine.mHeld.end() || mLoop.Now() < mNextClaimAt ||
+      !mClaimsInProgress.insert(aRequest).second) {
     aThen(false);
     return;
   }
@@ -422,10 +431,10 @@
     aRequest,
     trial,
     [this, aRequest, trial, then = std::move(aThen)](write_outcome aOutcome) {
-      mClaiming.erase(aRequest);
+      mClaimsInProgress.erase(aRequest);
       const bool granted = aOutcome == write_outcome::Done;
       if (aOutcome == write_outcome::Refused) {
-        mNextClaim = mLoop.Now() + kClaimPause;
+        mNextClaimAt = mLoop.Now() + kClaimBackoff;
       } else {
         // Without an answer the store may have given the trial away as well.
         RecordTrial(mBoard.mQuarantine, aRequest, trial, mLoop.Now());
@@ -438,50 +447,50 @@
       mBoard.mMetrics.Count(Labelled(
         "gateway_quarantine_trials_total", "granted", granted ? "1" : "0"));
       if (granted) {
-        mOutbox.TellHeldToAll({ { aRequest, trial, duration::zero() } });
+        mOutbox.BroadcastQuarantined({ { aRequest, trial, duration::zero() } });
       }
       then(granted);
     });
 }
 
 void
-crash_watch::Tick()
+crash_detector::Tick()
 {
   const time_point now = mLoop.Now();
-  for (const request_digest request : TakeDue(mRefutationsDue, now)) {
+  for (const request_digest request : TakeDue(mClearedBroadcastsDue, now)) {
     if (AnsweredRecently(mBoard.mQuarantine, request, now)) {
-      mOutbox.TellCleared(request);
+      mOutbox.BroadcastCleared(request);
     }
   }
-  for (const request_digest request : TakeDue(mRowsDue, now)) {
+  for (const request_digest request : TakeDue(mTableWritesDue, now)) {
     if (mBoard.mQuarantine.mHeld.contains(request)) {
       mRows.insert(request);
       mTable.Add(request);
     }
   }
   mTable.Tick();
-  if (!mWaiting.empty() && now - mBoard.mStarted >= kLearnsWithin) {
-    LetWaitingGo();
+  if (!mWaiting.empty() && now - mBoard.mStarted >= kMaxStartupWait) {
+    RunWaitingCallbacks();
   }
-  if (now - mForgotten >= kForgetEvery) {
-    mForgotten = now;
-    ForgetOld();
+  if (now - mLastExpiry >= kExpiryInterval) {
+    mLastExpiry = now;
+    ExpireOldState();
   }
 }
 
 void
-crash_watch::ForgetOld()
+crash_detector::ExpireOldState()
 {
   const time_point now = mLoop.Now();
-  for (auto& [endpoint, cases] : mCases) {
-    std::erase_if(cases, [now](const open_case& aCase) {
-      return aCase.mSince + kCaseOpenFor <= now;
+  for (auto& [endpoint, cases] : mUnresolvedFailures) {
+    std::erase_if(cases, [now](const unresolved_failure& aCase) {
+      return aCase.mFailedAt + kUnresolvedFailureLifetime <= now;
     });
   }
-  std::erase_if(mCases,
+  std::erase_if(mUnresolvedFailures,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
-  EraseOlder(mEnded, kCaseOpenFor, now);
-  EraseOlder(mReported, kReportedFor, now);
+  EraseOlder(mEnded, kUnresolvedFailureLifetime, now);
+  EraseOlder(mReported, kReportedLifetime, now);
   std::erase_if(mTold, [this](const auto& aEntry) {
     return !mBoard.mPeers.contains(aEntry.first);
   });
@@ -489,7 +498,7 @@
        ExpireCrashRecords(mBoard.mQuarantine, now)) {
     LogCleared(log_level::Info, freed, "time", true);
     mRows.erase(freed);
-    if (IsOwnDuty(mBoard, mSettings.mPeers.mHost, freed)) {
+    if (IsResponsibleGateway(mBoard, mSettings.mPeers.mHost, freed)) {
       mTable.Remove(freed);
     }
   }
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -16,29 +16,29 @@
 namespace primrose {
 
 /// How an attempt ended that brought no whole answer.
-struct broken_attempt
+struct failed_attempt
 {
   request_digest mRequest = 0;
   std::string mEndpointId;
   bool mAnswering = false; ///< A part of the answer had come.
   /// It broke off: worth asking at once whether the endpoint is still there.
-  bool mBrokeOff = false;
+  bool mConnectionBroke = false;
 
-  bool operator==(const broken_attempt&) const = default;
+  bool operator==(const failed_attempt&) const = default;
 };
 
-class crash_watch
+class crash_detector
 {
 public:
-  crash_watch(event_loop& aLoop,
-              const gateway_settings& aSettings,
-              const gateway_adapter& aAdapter,
-              gateway_board& aBoard,
-              endpoint_connections& aConnections,
-              news_outbox& aOutbox);
-  ~crash_watch();
-  crash_watch(const crash_watch&) = delete;
-  crash_watch& operator=(const crash_watch&) = delete;
+  crash_detector(event_loop& aLoop,
+                 const gateway_settings& aSettings,
+                 const gateway_adapter& aAdapter,
+                 gateway_board& aBoard,
+                 endpoint_connections& aConnections,
+                 gossip_sender& aOutbox);
+  ~crash_detector();
+  crash_detector(const crash_detector&) = delete;
+  crash_detector& operator=(const crash_detector&) = delete;
 
   /// Learns from the platform what is held.
   void Start();
@@ -48,25 +48,26 @@
   /// that ends endpoints may be the first that comes to an entry that has
   /// started. Where the store does not tell, callers wait for no longer than a
   /// moment after the start.
-  void WhenKnown(std::function<void()> aThen);
+  void WhenQuarantineLoaded(std::function<void()> aThen);
 
-  void OnBroken(const broken_attempt& aAttempt);
+  void OnAttemptFailed(const failed_attempt& aAttempt);
   /// The endpoint refused a connection, or another one has its address.
-  void OnGone(const std::string& aEndpointId, std::string_view aSeenBy);
+  void OnEndpointCrashed(const std::string& aEndpointId,
+                         std::string_view aSeenBy);
   /// The platform's list shows it as leaving: it is there, and ends as planned.
-  void OnLeaving(const std::string& aEndpointId);
+  void OnEndpointDraining(const std::string& aEndpointId);
   /// The platform's list dropped an endpoint.
-  void OnUnlisted(const std::string& aEndpointId);
+  void OnEndpointUnlisted(const std::string& aEndpointId);
   /// A request was answered whole.
-  void OnServed(request_digest aRequest);
+  void OnRequestAnswered(request_digest aRequest);
 
-  void HearCrash(const crash_report& aReport, const std::string& aHost);
-  void HearHeld(const std::vector<quarantined_request>& aHeld,
-                const std::string& aHost);
-  void HearCleared(request_digest aRequest, const std::string& aHost);
+  void OnPeerCrashReport(const crash_report& aReport, const std::string& aHost);
+  void MergeQuarantined(const std::vector<quarantined_request>& aHeld,
+                        const std::string& aHost);
+  void OnPeerCleared(request_digest aRequest, const std::string& aHost);
   /// What a peer says of all that it holds: if that is not what this entry
   /// holds, the peer gets this entry's.
-  void HearState(std::uint64_t aState, const std::string& aHost);
+  void OnPeerQuarantineHash(std::uint64_t aState, const std::string& aHost);
 
   quarantine_verdict Verdict(request_digest aRequest) const;
   /// Whether this entry may make a trial of a held request. At most one entry
@@ -77,42 +78,45 @@
   void Tick();
 
 private:
-  struct open_case
+  struct unresolved_failure
   {
-    broken_attempt mAttempt;
+    failed_attempt mAttempt;
     ip_address mAddress;
     bool mReached = false; ///< The endpoint took a connection after it.
-    time_point mSince{};
+    time_point mFailedAt{};
   };
   /// What the cases would add if their endpoints turned out to have ended.
   crash_score Pending(request_digest aRequest) const;
   void Check(const std::string& aEndpointId, const ip_address& aAddress);
-  void OnChecked(const std::string& aEndpointId, reachability aResult);
+  void OnReachabilityResult(const std::string& aEndpointId,
+                            reachability aResult);
   void Report(const crash_report& aReport);
-  void OnHeld(request_digest aRequest, const std::string& aToldBy);
-  void RefuteSoon(request_digest aRequest);
-  void ForgetOld();
-  void LetWaitingGo();
+  void OnQuarantined(request_digest aRequest, const std::string& aToldBy);
+  void ScheduleClearedBroadcast(request_digest aRequest);
+  void ExpireOldState();
+  void RunWaitingCallbacks();
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
   gateway_board& mBoard;
   endpoint_connections& mConnections;
-  news_outbox& mOutbox;
+  gossip_sender& mOutbox;
   quarantine_table mTable;
-  std::map<std::string, std::vector<open_case>> mCases; ///< By endpoint.
+  std::map<std::string, std::vector<unresolved_failure>>
+    mUnresolvedFailures;                    ///< By endpoint.
   std::map<std::string, time_point> mEnded; ///< Endpoints, when found out.
-  std::map<std::string, std::shared_ptr<reachability_check>> mChecks;
+  std::map<std::string, std::shared_ptr<reachability_check>>
+    mReachabilityChecks;
   /// Requests of which this entry reported an end, and when last.
   std::map<request_digest, time_point> mReported;
-  std::map<request_digest, time_point> mRowsDue;
+  std::map<request_digest, time_point> mTableWritesDue;
   std::set<request_digest> mRows; ///< That this entry added to the table.
-  std::map<request_digest, time_point> mRefutationsDue;
-  std::set<request_digest> mClaiming;
+  std::map<request_digest, time_point> mClearedBroadcastsDue;
+  std::set<request_digest> mClaimsInProgress;
   std::vector<std::function<void()>> mWaiting; ///< For what is held.
-  time_point mNextClaim{};
+  time_point mNextClaimAt{};
   std::map<std::string, time_point> mTold; ///< By host, all that is held.
-  time_point mForgotten{};
+  time_point mLastExpiry{};
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -83,7 +83,7 @@
     mDeadlineTimer = 0;
     OnDeadline();
   });
-  mContext.mCrashes.WhenKnown([weak = weak_from_this()]() {
+  mContext.mCrashes.WhenQuarantineLoaded([weak = weak_from_this()]() {
     const std::shared_ptr<exchange> self = weak.lock();
     if (self != nullptr && self->mState != state::Ended) {
       self->DispatchUnlessHeld();
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -19,8 +19,8 @@
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
   endpoint_connections& mConnections;
-  news_outbox& mOutbox;
-  crash_watch& mCrashes;
+  gossip_sender& mOutbox;
+  crash_detector& mCrashes;
 };
 
 /// The caller's connection, as an exchange sees it.
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -45,7 +45,7 @@
   NoteSign(aEndpoint.mHealth, aSign, now);
   if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
       aSign == endpoint_sign::Unreachable) {
-    mContext.mOutbox.TellTroubled(EngineKey(aEndpoint.mListed.mId));
+    mContext.mOutbox.AnnounceEndpointFailure(EngineKey(aEndpoint.mListed.mId));
   }
   if (!was && Avoided(aEndpoint, now)) {
     Log(log_level::Warning,
@@ -78,7 +78,7 @@
 exchange::LeaveOutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
   Sign(aHelper, endpoint_sign::Unwilling);
-  mContext.mOutbox.TellUnwilling(EngineKey(aHelper.mListed.mId));
+  mContext.mOutbox.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
   LeaveEndpoint();
   // The engine that was sent the prompt did nothing and may be sent it again:
   // this is none of the attempts that the route allows.
@@ -96,7 +96,7 @@
 exchange::NoteBroken(const attempt& aAttempt, bool aBrokeOff)
 {
   if (aAttempt.Sent()) {
-    mContext.mCrashes.OnBroken(
+    mContext.mCrashes.OnAttemptFailed(
       { mDigest, aAttempt.Endpoint().mId, mEventsHere, aBrokeOff });
   }
 }
@@ -129,13 +129,13 @@
     return;
   }
   const time_point now = mContext.mLoop.Now();
-  const told_limit limit{ EngineKey(known->mListed.mId),
-                          facts.mLimitPerSecond,
-                          now };
+  const limit_report limit{ EngineKey(known->mListed.mId),
+                            facts.mLimitPerSecond,
+                            now };
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
   if (MarkLimitAnnouncedIfDue(current, changed, now)) {
-    mContext.mOutbox.TellLimit(limit);
+    mContext.mOutbox.AnnounceLimit(limit);
   }
 }
 
@@ -211,7 +211,7 @@
 {
   const std::shared_ptr<exchange> self = shared_from_this();
   const unsigned status = aAttempt.Head().mStatus;
-  mContext.mCrashes.OnServed(mDigest);
+  mContext.mCrashes.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
     Sign(aAttempt, endpoint_sign::Failed);
     if (HasAlternative() && MayRepeat()) {
@@ -305,7 +305,7 @@
     case attempt_end::Unreached:
       Sign(aAttempt, endpoint_sign::Unreachable);
       if (aAttempt.ConnectionRefused()) {
-        mContext.mCrashes.OnGone(id, "refused");
+        mContext.mCrashes.OnEndpointCrashed(id, "refused");
       }
       LeaveEndpoint();
       mTried.pop_back();
@@ -334,7 +334,7 @@
       NoteLimit(aAttempt);
       if (elsewhere) {
         Sign(aAttempt, endpoint_sign::Elsewhere);
-        mContext.mCrashes.OnGone(id, "address_of_another");
+        mContext.mCrashes.OnEndpointCrashed(id, "address_of_another");
       }
       if (known_endpoint* const helper = RefusingHelper(aAttempt);
           helper != nullptr) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -184,7 +184,7 @@
   placed.mBegan = mBegan;
   placed.mExpires = mDeadline;
   NotePlaced(board.mLedger, placed, mContext.mLoop.Now());
-  mContext.mOutbox.TellPlaced(placed);
+  mContext.mOutbox.AnnouncePlacement(placed);
   mPlacement = placed.mKey;
   mExpectedMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
@@ -512,7 +512,8 @@
       mEventsHere ? placement_end::Read : placement_end::Unread;
     const auto placed = mContext.mBoard.mLedger.mPlacements.find(*mPlacement);
     if (placed != mContext.mBoard.mLedger.mPlacements.end()) {
-      mContext.mOutbox.TellEnded(*mPlacement, end, placed->second.mEngines);
+      mContext.mOutbox.AnnouncePlacementEnd(
+        *mPlacement, end, placed->second.mEngines);
     }
     NoteEnded(mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
     mPlacement.reset();
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -116,7 +116,7 @@
   mCrashes.Start();
   BOOST_LEAF_CHECK(mPeers.Open());
   BOOST_LEAF_CHECK(mPeerBeliefs.Open([this]() { return Beliefs(); }));
-  mEntryRoll = std::make_unique<entry_roll>(
+  mEntryRoll = std::make_unique<gateway_registry>(
     mLoop,
     mSettings,
     mAdapter,
@@ -181,13 +181,13 @@
 void
 gateway::AnswerProbe(int aSocket, bool aMetrics)
 {
-  probe_connection::Serve(mLoop, aSocket, [this, aMetrics]() {
+  http_responder::Serve(mLoop, aSocket, [this, aMetrics]() {
     if (aMetrics) {
       SetGauges(mBoard, mLoop.Now());
-      return probe_connection::answer{ kGood, mBoard.mMetrics.Exposition() };
+      return http_responder::answer{ kGood, mBoard.mMetrics.Exposition() };
     }
-    return Ready() ? probe_connection::answer{ kGood, "ready\n" }
-                   : probe_connection::answer{ kNotReady, "not ready\n" };
+    return Ready() ? http_responder::answer{ kGood, "ready\n" }
+                   : http_responder::answer{ kNotReady, "not ready\n" };
   });
 }
 
@@ -267,10 +267,10 @@
     mConnections.CloseIdle(aId);
   }
   if (aListing == listing::Leaving) {
-    mCrashes.OnLeaving(aId);
+    mCrashes.OnEndpointDraining(aId);
   }
   if (aListing == listing::Left) {
-    mCrashes.OnUnlisted(aId);
+    mCrashes.OnEndpointUnlisted(aId);
   }
 }
 
@@ -323,10 +323,10 @@
   mBoard.mRingStale = true;
 }
 
-believed_rows
+table_snapshot
 gateway::Beliefs() const
 {
-  believed_rows rows;
+  table_snapshot rows;
   rows.mManifest = mManifestRow;
   for (const auto& [id, row] : mEndpointRows) {
     rows.mEndpoints.push_back(row);
@@ -346,7 +346,7 @@
   }
   --mPeersLeftToAsk;
   mPeerBeliefs.Ask(ahead[Below(mBoard.mRandom, ahead.size())],
-                   [this](const std::optional<believed_rows>& aRows) {
+                   [this](const std::optional<table_snapshot>& aRows) {
                      if (aRows.has_value()) {
                        TakeBeliefs(*aRows);
                      } else {
@@ -356,7 +356,7 @@
 }
 
 void
-gateway::TakeBeliefs(const believed_rows& aRows)
+gateway::TakeBeliefs(const table_snapshot& aRows)
 {
   if (aRows.mManifest.has_value()) {
     OnManifests({ *aRows.mManifest });
@@ -454,7 +454,7 @@
       "stopped",
       { { "open_requests", mBoard.mOpenRequests },
         { "drained_ms", Milliseconds(drained) } });
-  mOutbox.TellLeaving();
+  mOutbox.BroadcastLeaving();
   mLoop.Quit();
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -46,8 +46,8 @@
   /// Asks one of the peers that say they know more, and another if that one
   /// gives no answer.
   void AskPeers();
-  void TakeBeliefs(const believed_rows& aRows);
-  believed_rows Beliefs() const;
+  void TakeBeliefs(const table_snapshot& aRows);
+  table_snapshot Beliefs() const;
   void Tick();
   void CheckDrained();
   void AnswerProbe(int aSocket, bool aMetrics);
@@ -57,10 +57,10 @@
   gateway_adapter mAdapter;
   gateway_board mBoard;
   endpoint_connections mConnections;
-  news_outbox mOutbox;
-  crash_watch mCrashes;
-  peer_news mPeers;
-  peer_beliefs mPeerBeliefs;
+  gossip_sender mOutbox;
+  crash_detector mCrashes;
+  peer_gossip mPeers;
+  snapshot_exchange mPeerBeliefs;
   gateway_context mContext;
   /// The rows as the platform had them, for peers that cannot reach it.
   std::optional<row_change<std::string>> mManifestRow;
@@ -69,7 +69,7 @@
   time_point mKnowledgeLogged{};
   std::unique_ptr<table_follower> mManifestFollower;
   std::unique_ptr<table_follower> mEndpointFollower;
-  std::unique_ptr<entry_roll> mEntryRoll;
+  std::unique_ptr<gateway_registry> mEntryRoll;
   std::unique_ptr<tcp_listener> mCallers;
   std::unique_ptr<tcp_listener> mReadiness;
   std::unique_ptr<tcp_listener> mMetrics;
--- a/Libraries/LibGateway/GatewayRegistry.cpp
+++ b/Libraries/LibGateway/GatewayRegistry.cpp
@@ -16,22 +16,22 @@
 
 } // namespace
 
-entry_roll::entry_roll(event_loop& aLoop,
-                       const gateway_settings& aSettings,
-                       const gateway_adapter& aAdapter,
-                       gateway_board& aBoard,
-                       learnt aLearnt)
+gateway_registry::gateway_registry(event_loop& aLoop,
+                                   const gateway_settings& aSettings,
+                                   const gateway_adapter& aAdapter,
+                                   gateway_board& aBoard,
+                                   learnt aLearnt)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
-  , mLearnt(std::move(aLearnt))
+  , mOnLoaded(std::move(aLearnt))
   , mCaller(aLoop, aSettings.mStore)
 {
 }
 
 void
-entry_roll::Register()
+gateway_registry::Register()
 {
   mCaller.Call(mAdapter.mWriteRow(
                  mAdapter.mEntryTable, mSettings.mPeers.mHost, mSettings.mName),
@@ -46,7 +46,7 @@
 }
 
 void
-entry_roll::Learn(const std::string& aFromKey)
+gateway_registry::Learn(const std::string& aFromKey)
 {
   mCaller.Call(mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
                kTimeout,
@@ -61,13 +61,13 @@
                  for (const row_change<std::string>& row : reading.mRows) {
                    mHosts.push_back(row.mKey);
                  }
-                 if (GoesOn(reading)) {
-                   Learn(NextKey(reading));
+                 if (HasMoreRows(reading)) {
+                   Learn(NextPageKey(reading));
                    return;
                  }
                  mBoard.mEntriesListed = mHosts.size();
                  mBoard.mEntriesKnown = true;
-                 mLearnt(mHosts);
+                 mOnLoaded(mHosts);
                });
 }
 
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -7,19 +7,19 @@
 
 namespace primrose {
 
-class entry_roll
+class gateway_registry
 {
 public:
   /// Gets the hosts of all entries that have a row, this one's included.
   using learnt = std::function<void(const std::vector<std::string>& aHosts)>;
 
-  entry_roll(event_loop& aLoop,
-             const gateway_settings& aSettings,
-             const gateway_adapter& aAdapter,
-             gateway_board& aBoard,
-             learnt aLearnt);
-  entry_roll(const entry_roll&) = delete;
-  entry_roll& operator=(const entry_roll&) = delete;
+  gateway_registry(event_loop& aLoop,
+                   const gateway_settings& aSettings,
+                   const gateway_adapter& aAdapter,
+                   gateway_board& aBoard,
+                   learnt aLearnt);
+  gateway_registry(const gateway_registry&) = delete;
+  gateway_registry& operator=(const gateway_registry&) = delete;
 
   /// Writes the row and reads the table, again and again until both are done.
   void Register();
@@ -32,7 +32,7 @@
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
-  learnt mLearnt;
+  learnt mOnLoaded;
   std::vector<std::string> mHosts;
   http_caller mCaller;
 };
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -13,50 +13,50 @@
 
 /// News of one such span goes in one datagram: short against a pass of an
 /// engine (50 ms), long against the time between two placements in a burst.
-constexpr duration kGather = std::chrono::milliseconds(3);
+constexpr duration kBatchDelay = std::chrono::milliseconds(3);
 /// An end only frees a place, and half of what a datagram costs is its heads:
 /// it waits this long for a placement to go with. A pass takes 50 ms.
-constexpr duration kGatherEnds = std::chrono::milliseconds(30);
+constexpr duration kEndBatchDelay = std::chrono::milliseconds(30);
 /// Placements in one datagram, so that it fits into one packet.
-constexpr std::size_t kMostPlaced = 8;
+constexpr std::size_t kMaxPlacementsPerDatagram = 8;
 /// Hosts named in one datagram, and in which of the beats: an entry that starts
 /// finds the others in the platform's table of entries, so this is for those
 /// that could not read it. Named in each, hosts were half of what an entry of
 /// 103 sent.
-constexpr std::size_t kMostHosts = 16;
-constexpr unsigned kBeatsPerNamedHosts = 4;
+constexpr std::size_t kMaxHostsPerDatagram = 16;
+constexpr unsigned kHeartbeatsPerHostList = 4;
 /// What concerns all entries goes to each of them: an endpoint that ends takes
 /// all that it worked on, so its reports come together and share a datagram.
 /// Short against the seconds within which all have to know.
-constexpr duration kGatherForAll = std::chrono::milliseconds(30);
+constexpr duration kBroadcastBatchDelay = std::chrono::milliseconds(30);
 /// Held requests or reports in one datagram, of 14 bytes each.
-constexpr std::size_t kMostHeldTold = 64;
+constexpr std::size_t kMaxQuarantinedPerDatagram = 64;
 
 } // namespace
 
-news_outbox::news_outbox(event_loop& aLoop,
-                         const gateway_settings& aSettings,
-                         gateway_board& aBoard)
+gossip_sender::gossip_sender(event_loop& aLoop,
+                             const gateway_settings& aSettings,
+                             gateway_board& aBoard)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
 {
 }
 
-news_outbox::~news_outbox()
+gossip_sender::~gossip_sender()
 {
   mLoop.Cancel(mFlushTimer);
-  mLoop.Cancel(mForAllTimer);
+  mLoop.Cancel(mBroadcastTimer);
 }
 
 void
-news_outbox::Open(datagram_socket& aSocket)
+gossip_sender::Open(datagram_socket& aSocket)
 {
   mSocket = &aSocket;
 }
 
 void
-news_outbox::Send(const std::string& aBytes, const std::string& aHost)
+gossip_sender::Send(const std::string& aBytes, const std::string& aHost)
 {
   if (mSocket != nullptr) {
     mSocket->Send(aBytes, { aHost, mSettings.mPeers.mPort });
@@ -64,111 +64,117 @@
 }
 
 void
-news_outbox::TellPlaced(const placement& aPlaced)
+gossip_sender::AnnouncePlacement(const placement& aPlaced)
 {
   mGathered.mPlaced.push_back(aPlaced);
   Concern(aPlaced.mEngines);
-  FlushWithin(kGather);
+  ScheduleFlush(kBatchDelay);
 }
 
 void
-news_outbox::TellEnded(placement_key aKey,
-                       placement_end aEnd,
-                       const std::vector<engine_key>& aEngines)
+gossip_sender::AnnouncePlacementEnd(placement_key aKey,
+                                    placement_end aEnd,
+                                    const std::vector<engine_key>& aEngines)
 {
   (aEnd == placement_end::Read ? mGathered.mEnded : mGathered.mUnread)
     .push_back(aKey);
   Concern(aEngines);
-  FlushWithin(kGatherEnds);
+  ScheduleFlush(kEndBatchDelay);
 }
 
 void
-news_outbox::TellUnwilling(engine_key aEngine)
+gossip_sender::AnnounceHelpRefusal(engine_key aEngine)
 {
-  mGathered.mUnwilling.push_back(aEngine);
+  mGathered.mHelpRefused.push_back(aEngine);
   Concern({ aEngine });
-  FlushWithin(kGather);
+  ScheduleFlush(kBatchDelay);
 }
 
 void
-news_outbox::TellTroubled(engine_key aEndpoint)
+gossip_sender::AnnounceEndpointFailure(engine_key aEndpoint)
 {
   mGathered.mTroubled.push_back(aEndpoint);
   Concern({ aEndpoint });
-  FlushWithin(kGather);
+  ScheduleFlush(kBatchDelay);
 }
 
 void
-news_outbox::TellLimit(const told_limit& aLimit)
+gossip_sender::AnnounceLimit(const limit_report& aLimit)
 {
   mGathered.mLimits.push_back(aLimit);
   Concern({ aLimit.mEndpoint });
-  FlushWithin(kGather);
+  ScheduleFlush(kBatchDelay);
 }
 
 void
-news_outbox::TellCrash(const crash_report& aReport)
+gossip_sender::BroadcastCrash(const crash_report& aReport)
 {
-  mForAll.mCrashes.push_back(aReport);
-  FlushToAllSoon();
+  mBroadcastBatch.mCrashes.push_back(aReport);
+  ScheduleBroadcast();
 }
 
 void
-news_outbox::TellCleared(request_digest aRequest)
+gossip_sender::BroadcastCleared(request_digest aRequest)
 {
-  mForAll.mCleared.push_back(aRequest);
-  FlushToAllSoon();
+  mBroadcastBatch.mCleared.push_back(aRequest);
+  ScheduleBroadcast();
 }
 
 void
-news_outbox::TellHeldToAll(const std::vector<quarantined_request>& aHeld)
+gossip_sender::BroadcastQuarantined(
+  const std::vector<quarantined_request>& aHeld)
 {
-  mForAll.mHeld.insert(mForAll.mHeld.end(), aHeld.begin(), aHeld.end());
-  FlushToAllSoon();
+  mBroadcastBatch.mHeld.insert(
+    mBroadcastBatch.mHeld.end(), aHeld.begin(), aHeld.end());
+  ScheduleBroadcast();
 }
 
 void
-news_outbox::TellHeld(const std::vector<quarantined_request>& aHeld,
-                      const std::string& aHost)
+gossip_sender::SendQuarantined(const std::vector<quarantined_request>& aHeld,
+                               const std::string& aHost)
 {
-  for (std::size_t from = 0; from < aHeld.size(); from += kMostHeldTold) {
+  for (std::size_t from = 0; from < aHeld.size();
+       from += kMaxQuarantinedPerDatagram) {
     peer_message message = Message();
     const auto begin = aHeld.begin() + static_cast<std::ptrdiff_t>(from);
-    const std::size_t count = std::min(kMostHeldTold, aHeld.size() - from);
-    message.mNews.mHeld = { begin, begin + static_cast<std::ptrdiff_t>(count) };
-    const std::string bytes = EncodeNews(message, mLoop.Now());
+    const std::size_t count =
+      std::min(kMaxQuarantinedPerDatagram, aHeld.size() - from);
+    message.mUpdates.mHeld = { begin,
+                               begin + static_cast<std::ptrdiff_t>(count) };
+    const std::string bytes = EncodePeerMessage(message, mLoop.Now());
     CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, bytes.size());
     Send(bytes, aHost);
   }
 }
 
 void
-news_outbox::FlushToAllSoon()
+gossip_sender::ScheduleBroadcast()
 {
-  const std::size_t gathered =
-    mForAll.mCrashes.size() + mForAll.mCleared.size() + mForAll.mHeld.size();
-  if (gathered >= kMostHeldTold) {
-    FlushToAll();
+  const std::size_t gathered = mBroadcastBatch.mCrashes.size() +
+                               mBroadcastBatch.mCleared.size() +
+                               mBroadcastBatch.mHeld.size();
+  if (gathered >= kMaxQuarantinedPerDatagram) {
+    FlushBroadcast();
     return;
   }
-  if (mForAllTimer == 0) {
-    mForAllTimer = mLoop.After(kGatherForAll, [this]() {
-      mForAllTimer = 0;
-      FlushToAll();
+  if (mBroadcastTimer == 0) {
+    mBroadcastTimer = mLoop.After(kBroadcastBatchDelay, [this]() {
+      mBroadcastTimer = 0;
+      FlushBroadcast();
     });
   }
 }
 
 void
-news_outbox::FlushToAll()
+gossip_sender::FlushBroadcast()
 {
-  mLoop.Cancel(mForAllTimer);
+  mLoop.Cancel(mBroadcastTimer);
   peer_message message = Message();
-  message.mNews = std::exchange(mForAll, {});
-  if (message.mNews == told_news{}) {
+  message.mUpdates = std::exchange(mBroadcastBatch, {});
+  if (message.mUpdates == peer_updates{}) {
     return;
   }
-  const std::string bytes = EncodeNews(message, mLoop.Now());
+  const std::string bytes = EncodePeerMessage(message, mLoop.Now());
   for (const auto& [host, peer] : mBoard.mPeers) {
     Send(bytes, host);
   }
@@ -179,21 +185,21 @@
 }
 
 void
-news_outbox::TellLeaving()
+gossip_sender::BroadcastLeaving()
 {
   Flush();
-  FlushToAll();
+  FlushBroadcast();
   mLeaving = true;
-  const std::string bytes = EncodeBeat(false);
+  const std::string bytes = EncodeHeartbeat(false);
   for (const auto& [host, peer] : mBoard.mPeers) {
     Send(bytes, host);
   }
 }
 
 void
-news_outbox::FlushWithin(duration aSpan)
+gossip_sender::ScheduleFlush(duration aSpan)
 {
-  if (mGathered.mPlaced.size() >= kMostPlaced) {
+  if (mGathered.mPlaced.size() >= kMaxPlacementsPerDatagram) {
     Flush();
     return;
   }
@@ -210,7 +216,7 @@
 }
 
 peer_message
-news_outbox::Message() const
+gossip_sender::Message() const
 {
   peer_message message;
   message.mBoot = mBoard.mBoot;
@@ -221,14 +227,15 @@
 }
 
 std::string
-news_outbox::EncodeBeat(bool aNamesHosts)
+gossip_sender::EncodeHeartbeat(bool aNamesHosts)
 {
   peer_message message = Message();
-  message.mHeldState = QuarantineChecksum(mBoard.mQuarantine);
+  message.mQuarantineHash = QuarantineChecksum(mBoard.mQuarantine);
   if (!aNamesHosts) {
-    return EncodeNews(message, mLoop.Now());
+    return EncodePeerMessage(message, mLoop.Now());
   }
-  const std::size_t hosts = std::min(kMostHosts, mBoard.mPeers.size());
+  const std::size_t hosts =
+    std::min(kMaxHostsPerDatagram, mBoard.mPeers.size());
   std::map<std::string, peer_entry>::const_iterator peer =
     mBoard.mPeers.begin();
   std::advance(peer,
@@ -237,36 +244,36 @@
   for (std::size_t i = 0; i < hosts; ++i, ++peer) {
     message.mHosts.push_back(peer->first);
   }
-  return EncodeNews(message, mLoop.Now());
+  return EncodePeerMessage(message, mLoop.Now());
 }
 
 void
-news_outbox::Flush()
+gossip_sender::Flush()
 {
   mLoop.Cancel(mFlushTimer);
   mFlushTimer = 0;
-  if (mConcerned.empty()) {
+  if (mBatchEngines.empty()) {
     return;
   }
   peer_message message = Message();
-  message.mNews = std::exchange(mGathered, {});
+  message.mUpdates = std::exchange(mGathered, {});
   const std::vector<std::string> concerned = HostsThatPrefer(
-    mBoard.mRing, PeerHosts(mBoard), std::exchange(mConcerned, {}));
-  const std::string bytes = EncodeNews(message, mLoop.Now());
-  for (const std::string& host : PeersToTell(concerned, bytes.size())) {
+    mBoard.mRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
+  const std::string bytes = EncodePeerMessage(message, mLoop.Now());
+  for (const std::string& host : ChooseRecipients(concerned, bytes.size())) {
     Send(bytes, host);
   }
 }
 
 void
-news_outbox::Concern(const std::vector<engine_key>& aEngines)
+gossip_sender::Concern(const std::vector<engine_key>& aEngines)
 {
-  mConcerned.insert(mConcerned.end(), aEngines.begin(), aEngines.end());
+  mBatchEngines.insert(mBatchEngines.end(), aEngines.begin(), aEngines.end());
 }
 
 std::vector<std::string>
-news_outbox::PeersToTell(const std::vector<std::string>& aHosts,
-                         std::size_t aBytes)
+gossip_sender::ChooseRecipients(const std::vector<std::string>& aHosts,
+                                std::size_t aBytes)
 {
   const std::size_t told =
     TakeRecipientCount(mBudget, aHosts.size(), aBytes, mLoop.Now());
@@ -286,38 +293,39 @@
 }
 
 void
-news_outbox::Beat(const std::string& aHost)
+gossip_sender::Beat(const std::string& aHost)
 {
-  Send(EncodeBeat(true), aHost);
+  Send(EncodeHeartbeat(true), aHost);
 }
 
 void
-news_outbox::Beat()
+gossip_sender::Beat()
 {
   // Whoever hears of no placement of this entry hears a beat now and then, each
   // in its turn.
-  const std::string bytes = EncodeBeat(mBeats++ % kBeatsPerNamedHosts == 0);
+  const std::string bytes =
+    EncodeHeartbeat(mHeartbeats++ % kHeartbeatsPerHostList == 0);
   const std::size_t told = PeersPerHeartbeat(mBoard.mPeers.size());
   std::map<std::string, peer_entry>::const_iterator next =
-    mBoard.mPeers.upper_bound(mLastBeatTold);
+    mBoard.mPeers.upper_bound(mLastHeartbeatHost);
   for (std::size_t i = 0; i < told; ++i, ++next) {
     if (next == mBoard.mPeers.end()) {
       next = mBoard.mPeers.begin();
     }
-    mLastBeatTold = next->first;
+    mLastHeartbeatHost = next->first;
     Send(bytes, next->first);
   }
   CountPeerBytes(mBoard.mMetrics, peer_traffic::BeatsSent, told * bytes.size());
 }
 
 void
-news_outbox::Greet(const std::string& aHost)
+gossip_sender::SendInitialState(const std::string& aHost)
 {
   // A new peer knows nothing of what this entry has placed, and would take
   // busy engines for idle ones, and limited endpoints for unlimited ones.
   peer_message message = Message();
-  message.mNews.mLimits = KnownLimits(mBoard);
-  std::vector<placement>& own = message.mNews.mPlaced;
+  message.mUpdates.mLimits = KnownLimits(mBoard);
+  std::vector<placement>& own = message.mUpdates.mPlaced;
   for (const auto& [key, placed] : mBoard.mLedger.mPlacements) {
     if (placed.mOwner != mBoard.mBoot) {
       continue;
@@ -325,16 +333,16 @@
     own.push_back(placed);
     // Reading that was placed a while ago is mostly done.
     own.back().mPartMs = 0;
-    if (own.size() == kMostPlaced) {
-      Send(EncodeNews(message, mLoop.Now()), aHost);
+    if (own.size() == kMaxPlacementsPerDatagram) {
+      Send(EncodePeerMessage(message, mLoop.Now()), aHost);
       own.clear();
-      message.mNews.mLimits.clear();
+      message.mUpdates.mLimits.clear();
     }
   }
-  if (own.empty() && message.mNews.mLimits.empty()) {
+  if (own.empty() && message.mUpdates.mLimits.empty()) {
     Beat(aHost);
   } else {
-    Send(EncodeNews(message, mLoop.Now()), aHost);
+    Send(EncodePeerMessage(message, mLoop.Now()), aHost);
   }
 }
 
--- a/Libraries/LibGateway/HttpResponder.cpp
+++ b/Libraries/LibGateway/HttpResponder.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-probe_connection::probe_connection(event_loop& aLoop, int aSocket, asked aAsked)
+http_responder::http_responder(event_loop& aLoop, int aSocket, asked aAsked)
   : mLoop(aLoop)
   , mAsked(std::move(aAsked))
   , mChannel(std::make_shared<tcp_channel>(aLoop, aSocket, kLimits))
@@ -19,15 +19,15 @@
 }
 
 void
-probe_connection::Serve(event_loop& aLoop, int aSocket, asked aAsked)
+http_responder::Serve(event_loop& aLoop, int aSocket, asked aAsked)
 {
-  const std::shared_ptr<probe_connection> made(
-    new probe_connection(aLoop, aSocket, std::move(aAsked)));
+  const std::shared_ptr<http_responder> made(
+    new http_responder(aLoop, aSocket, std::move(aAsked)));
   made->mSelf = made;
 }
 
 void
-probe_connection::OnInput(tcp_channel& aChannel)
+http_responder::OnInput(tcp_channel& aChannel)
 {
   const read_state state = mReader.Read(aChannel.Input());
   if (state == read_state::Head || state == read_state::Body) {
@@ -54,13 +54,13 @@
 }
 
 void
-probe_connection::OnEnd(tcp_channel&, channel_end)
+http_responder::OnEnd(tcp_channel&, channel_end)
 {
   Close();
 }
 
 void
-probe_connection::Close()
+http_responder::Close()
 {
   mChannel->Close();
   mLoop.DeleteLater(std::move(mSelf));
--- a/Libraries/LibGateway/HttpResponder.h
+++ b/Libraries/LibGateway/HttpResponder.h
@@ -7,7 +7,7 @@
 
 namespace primrose {
 
-class probe_connection final : public channel_owner
+class http_responder final : public channel_owner
 {
 public:
   struct answer
@@ -24,14 +24,14 @@
   void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
 
 private:
-  probe_connection(event_loop& aLoop, int aSocket, asked aAsked);
+  http_responder(event_loop& aLoop, int aSocket, asked aAsked);
   void Close();
 
   event_loop& mLoop;
   asked mAsked;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
-  std::shared_ptr<probe_connection> mSelf; ///< Until the connection ends.
+  std::shared_ptr<http_responder> mSelf; ///< Until the connection ends.
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/LimitUpdates.cpp
+++ b/Libraries/LibGateway/LimitUpdates.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// Limits in one datagram, at about 12 bytes each.
-constexpr std::size_t kMostLimits = 64;
+constexpr std::size_t kMaxLimitsPerDatagram = 64;
 
 void
 UpdateShare(const gateway_board& aBoard,
@@ -30,7 +30,7 @@
 ApplyLimit(gateway_board& aBoard,
            const std::string& aOwnHost,
            known_endpoint& aEndpoint,
-           const told_limit& aLimit,
+           const limit_report& aLimit,
            time_point aNow,
            const std::string& aToldBy)
 {
@@ -63,12 +63,13 @@
   }
 }
 
-std::vector<told_limit>
+std::vector<limit_report>
 KnownLimits(const gateway_board& aBoard)
 {
-  std::vector<told_limit> limits;
+  std::vector<limit_report> limits;
   for (const auto& [id, known] : aBoard.mEndpoints.mEndpoints) {
-    if (known.mLimit.mPerSecond.has_value() && limits.size() < kMostLimits) {
+    if (known.mLimit.mPerSecond.has_value() &&
+        limits.size() < kMaxLimitsPerDatagram) {
       limits.push_back(
         { EngineKey(id), known.mLimit.mPerSecond, known.mLimit.mObserved });
     }
--- a/Libraries/LibGateway/LimitUpdates.h
+++ b/Libraries/LibGateway/LimitUpdates.h
@@ -14,7 +14,7 @@
 ApplyLimit(gateway_board& aBoard,
            const std::string& aOwnHost,
            known_endpoint& aEndpoint,
-           const told_limit& aLimit,
+           const limit_report& aLimit,
            time_point aNow,
            const std::string& aToldBy);
 
@@ -25,7 +25,7 @@
                   time_point aNow);
 
 /// Limits in force, capped to bound the size of the datagram.
-std::vector<told_limit>
+std::vector<limit_report>
 KnownLimits(const gateway_board& aBoard);
 
 } // namespace primrose
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -11,18 +11,19 @@
 
 /// How often an entry shows that it is there, and after how many times the
 /// usual span between two of its beats a silent one counts as gone.
-constexpr duration kBeat = std::chrono::seconds(1);
-constexpr unsigned kSilentBeats = 4;
+constexpr duration kHeartbeatInterval = std::chrono::seconds(1);
+constexpr unsigned kMissedHeartbeats = 4;
 /// Hosts not heard from are asked every so many beats.
-constexpr unsigned kCandidateBeats = 3;
+constexpr unsigned kCandidateHeartbeats = 3;
 
 /// The usual span between two beats of one peer, as this entry hears them.
 duration
-SpanBetweenBeats(std::size_t aPeers)
+HeartbeatSpacing(std::size_t aPeers)
 {
   const std::size_t told = PeersPerHeartbeat(aPeers);
-  return told == aPeers ? kBeat
-                        : kBeat * static_cast<int>((aPeers + told - 1) / told);
+  return told == aPeers
+           ? kHeartbeatInterval
+           : kHeartbeatInterval * static_cast<int>((aPeers + told - 1) / told);
 }
 
 /// The endpoint that peers name by this key; null if it is not listed here.
@@ -98,18 +99,18 @@
   return std::max(aBoard.mPeers.size() + 1, aBoard.mEntriesListed);
 }
 
-peer_news::peer_news(event_loop& aLoop,
-                     const gateway_settings& aSettings,
-                     gateway_board& aBoard,
-                     news_outbox& aOutbox,
-                     crash_watch& aCrashes,
-                     const behind& aBehind)
+peer_gossip::peer_gossip(event_loop& aLoop,
+                         const gateway_settings& aSettings,
+                         gateway_board& aBoard,
+                         gossip_sender& aOutbox,
+                         crash_detector& aCrashes,
+                         const behind& aBehind)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
   , mOutbox(aOutbox)
   , mCrashes(aCrashes)
-  , mManifestWatch(
+  , mManifestStaleness(
       aLoop,
       aBoard,
       "manifest",
@@ -120,7 +121,7 @@
         return ManifestHeld(aBoard);
       },
       [aBehind](duration aPatience) { aBehind(belief::Manifest, aPatience); })
-  , mListWatch(
+  , mListStaleness(
       aLoop,
       aBoard,
       "endpoints",
@@ -129,20 +130,20 @@
 {
 }
 
-peer_news::~peer_news()
+peer_gossip::~peer_gossip()
 {
-  mLoop.Cancel(mBeatTimer);
+  mLoop.Cancel(mHeartbeatTimer);
 }
 
 result<void>
-peer_news::Open()
+peer_gossip::Open()
 {
   BOOST_LEAF_ASSIGN(mSocket,
                     datagram_socket::Open(
                       mLoop,
                       mSettings.mPeers,
                       [this](std::string_view aBytes, const ip_address& aFrom) {
-                        OnNews(aBytes, aFrom);
+                        OnDatagram(aBytes, aFrom);
                       }));
   mOutbox.Open(*mSocket);
   AddHosts(mSettings.mSeeds);
@@ -151,7 +152,7 @@
 }
 
 void
-peer_news::AddHosts(const std::vector<std::string>& aHosts)
+peer_gossip::AddHosts(const std::vector<std::string>& aHosts)
 {
   for (const std::string& host : aHosts) {
     if (host != mSettings.mPeers.mHost && !mBoard.mPeers.contains(host) &&
@@ -162,7 +163,7 @@
 }
 
 void
-peer_news::ApplyEndpointNews(
+peer_gossip::ApplyEndpointUpdate(
   engine_key aEndpoint,
   const std::string& aHost,
   const std::function<void(endpoint_health&, time_point)>& aNote)
@@ -186,51 +187,51 @@
 }
 
 void
-peer_news::Beat()
+peer_gossip::Beat()
 {
-  ForgetSilent();
-  CompareWithPresent();
+  RemoveSilentPeers();
+  CompareWithLivePeers();
   mOutbox.Beat();
-  if (mBeats % kCandidateBeats == 0) {
+  if (mHeartbeats % kCandidateHeartbeats == 0) {
     for (const std::string& host : mCandidates) {
       mOutbox.Beat(host);
     }
   }
-  ++mBeats;
-  mBeatTimer = mLoop.After(kBeat, [this]() {
-    mBeatTimer = 0;
+  ++mHeartbeats;
+  mHeartbeatTimer = mLoop.After(kHeartbeatInterval, [this]() {
+    mHeartbeatTimer = 0;
     Beat();
   });
 }
 
 void
-peer_news::CompareBeliefs(std::uint64_t aManifest, std::uint64_t aList)
+peer_gossip::CompareVersions(std::uint64_t aManifest, std::uint64_t aList)
 {
-  mNewestManifest = std::max(mNewestManifest, aManifest);
-  mNewestList = std::max(mNewestList, aList);
-  mManifestWatch.Told(mNewestManifest);
-  mListWatch.Told(mNewestList);
+  mNewestPeerManifest = std::max(mNewestPeerManifest, aManifest);
+  mNewestPeerList = std::max(mNewestPeerList, aList);
+  mManifestStaleness.Told(mNewestPeerManifest);
+  mListStaleness.Told(mNewestPeerList);
 }
 
 void
-peer_news::CompareWithPresent()
+peer_gossip::CompareWithLivePeers()
 {
   // What only a peer knew that is gone can be asked of nobody.
-  mNewestManifest = 0;
-  mNewestList = 0;
+  mNewestPeerManifest = 0;
+  mNewestPeerList = 0;
   for (const auto& [host, peer] : mBoard.mPeers) {
-    mNewestManifest = std::max(mNewestManifest, peer.mManifest);
-    mNewestList = std::max(mNewestList, peer.mList);
+    mNewestPeerManifest = std::max(mNewestPeerManifest, peer.mManifest);
+    mNewestPeerList = std::max(mNewestPeerList, peer.mList);
   }
-  CompareBeliefs(mNewestManifest, mNewestList);
+  CompareVersions(mNewestPeerManifest, mNewestPeerList);
 }
 
 void
-peer_news::ForgetSilent()
+peer_gossip::RemoveSilentPeers()
 {
   const time_point now = mLoop.Now();
-  const duration silence =
-    static_cast<int>(kSilentBeats) * SpanBetweenBeats(mBoard.mPeers.size());
+  const duration silence = static_cast<int>(kMissedHeartbeats) *
+                           HeartbeatSpacing(mBoard.mPeers.size());
   for (auto peer = mBoard.mPeers.begin(); peer != mBoard.mPeers.end();) {
     if (now - peer->second.mHeard < silence) {
       ++peer;
@@ -248,12 +249,12 @@
 }
 
 void
-peer_news::OnNews(std::string_view aBytes, const ip_address& aFrom)
+peer_gossip::OnDatagram(std::string_view aBytes, const ip_address& aFrom)
 {
   const time_point now = mLoop.Now();
   CountPeerBytes(mBoard.mMetrics, peer_traffic::Received, aBytes.size());
-  const outcome<peer_message> read =
-    Capture<peer_message>([aBytes, now]() { return DecodeNews(aBytes, now); });
+  const outcome<peer_message> read = Capture<peer_message>(
+    [aBytes, now]() { return DecodePeerMessage(aBytes, now); });
   if (!read) {
     Log(log_level::Warning,
         "peer_news_malformed",
@@ -270,15 +271,15 @@
     mBoard.mRingStale = true;
     return;
   }
-  NotePeer(message, aFrom.mHost);
-  CompareBeliefs(message.mManifest, message.mList);
-  TakeNews(message.mNews, aFrom.mHost);
-  TakeCrashNews(message, aFrom.mHost);
+  RecordPeer(message, aFrom.mHost);
+  CompareVersions(message.mManifest, message.mList);
+  ApplyUpdates(message.mUpdates, aFrom.mHost);
+  ApplyCrashUpdates(message, aFrom.mHost);
   AddHosts(message.mHosts);
 }
 
 void
-peer_news::NotePeer(const peer_message& aMessage, const std::string& aHost)
+peer_gossip::RecordPeer(const peer_message& aMessage, const std::string& aHost)
 {
   const time_point now = mLoop.Now();
   const auto known = mBoard.mPeers.find(aHost);
@@ -295,12 +296,12 @@
     Log(log_level::Info,
         "peer_found",
         { { "host", aHost }, { "peers", mBoard.mPeers.size() } });
-    mOutbox.Greet(aHost);
+    mOutbox.SendInitialState(aHost);
   }
 }
 
 void
-peer_news::TakeNews(const told_news& aNews, const std::string& aHost)
+peer_gossip::ApplyUpdates(const peer_updates& aNews, const std::string& aHost)
 {
   const time_point now = mLoop.Now();
   mBoard.mMetrics.Count("gateway_placements_heard_total",
@@ -314,16 +315,16 @@
   for (const placement_key key : aNews.mUnread) {
     NoteEnded(mBoard.mLedger, key, placement_end::Unread, now);
   }
-  for (const engine_key engine : aNews.mUnwilling) {
-    ApplyEndpointNews(
+  for (const engine_key engine : aNews.mHelpRefused) {
+    ApplyEndpointUpdate(
       engine, aHost, [](endpoint_health& aHealth, time_point aNow) {
         NoteSign(aHealth, endpoint_sign::Unwilling, aNow);
       });
   }
   for (const engine_key endpoint : aNews.mTroubled) {
-    ApplyEndpointNews(endpoint, aHost, NoteTold);
+    ApplyEndpointUpdate(endpoint, aHost, NoteTold);
   }
-  for (const told_limit& limit : aNews.mLimits) {
+  for (const limit_report& limit : aNews.mLimits) {
     if (known_endpoint* const known =
           FindByKey(mBoard.mEndpoints, limit.mEndpoint);
         known != nullptr) {
@@ -335,17 +336,18 @@
 }
 
 void
-peer_news::TakeCrashNews(const peer_message& aMessage, const std::string& aHost)
+peer_gossip::ApplyCrashUpdates(const peer_message& aMessage,
+                               const std::string& aHost)
 {
-  const told_news& news = aMessage.mNews;
+  const peer_updates& news = aMessage.mUpdates;
   for (const request_digest cleared : news.mCleared) {
-    mCrashes.HearCleared(cleared, aHost);
+    mCrashes.OnPeerCleared(cleared, aHost);
   }
   for (const crash_report& report : news.mCrashes) {
-    mCrashes.HearCrash(report, aHost);
+    mCrashes.OnPeerCrashReport(report, aHost);
   }
-  mCrashes.HearHeld(news.mHeld, aHost);
-  mCrashes.HearState(aMessage.mHeldState, aHost);
+  mCrashes.MergeQuarantined(news.mHeld, aHost);
+  mCrashes.OnPeerQuarantineHash(aMessage.mQuarantineHash, aHost);
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -117,7 +117,7 @@
 }
 
 void
-WriteCrashes(wire::PeerNews::Builder aNews, const told_news& aTold)
+WriteCrashes(wire::PeerNews::Builder aNews, const peer_updates& aTold)
 {
   if (!aTold.mCrashes.empty()) {
     capnp::List<wire::CrashReport>::Builder crashes =
@@ -147,7 +147,7 @@
 }
 
 void
-ReadCrashes(wire::PeerNews::Reader aNews, told_news& aTold)
+ReadCrashes(wire::PeerNews::Reader aNews, peer_updates& aTold)
 {
   for (const wire::CrashReport::Reader crash : aNews.getCrashes()) {
     aTold.mCrashes.push_back(
@@ -165,7 +165,7 @@
 
 void
 WriteLimits(wire::PeerNews::Builder aNews,
-            const std::vector<told_limit>& aLimits,
+            const std::vector<limit_report>& aLimits,
             time_point aNow)
 {
   if (aLimits.empty()) {
@@ -183,10 +183,10 @@
 }
 
 void
-ReadLimits(wire::PeerNews::Reader aNews, told_news& aTold, time_point aNow)
+ReadLimits(wire::PeerNews::Reader aNews, peer_updates& aTold, time_point aNow)
 {
   for (const wire::EndpointLimit::Reader limit : aNews.getLimits()) {
-    told_limit told;
+    limit_report told;
     told.mEndpoint = limit.getEndpoint();
     if (limit.getPerSecondMillis() > 0) {
       told.mPerSecond = limit.getPerSecondMillis() / kMillisInOne;
@@ -198,7 +198,7 @@
 
 void
 WriteNews(wire::PeerNews::Builder aNews,
-          const told_news& aTold,
+          const peer_updates& aTold,
           time_point aNow)
 {
   if (!aTold.mPlaced.empty()) {
@@ -216,10 +216,10 @@
     WriteNumbers(aNews.initUnread(static_cast<unsigned>(aTold.mUnread.size())),
                  Sequences(aTold.mUnread));
   }
-  if (!aTold.mUnwilling.empty()) {
+  if (!aTold.mHelpRefused.empty()) {
     WriteNumbers(
-      aNews.initUnwilling(static_cast<unsigned>(aTold.mUnwilling.size())),
-      aTold.mUnwilling);
+      aNews.initUnwilling(static_cast<unsigned>(aTold.mHelpRefused.size())),
+      aTold.mHelpRefused);
   }
   if (!aTold.mTroubled.empty()) {
     WriteNumbers(
@@ -238,16 +238,16 @@
   message.mLeaving = aNews.getLeaving();
   message.mManifest = aNews.getManifest();
   message.mList = aNews.getList();
-  message.mHeldState = aNews.getHeldState();
+  message.mQuarantineHash = aNews.getHeldState();
   for (const wire::PlacedWork::Reader work : aNews.getPlaced()) {
-    message.mNews.mPlaced.push_back(ReadWork(work, message.mBoot, aNow));
+    message.mUpdates.mPlaced.push_back(ReadWork(work, message.mBoot, aNow));
   }
-  message.mNews.mEnded = Keys(message.mBoot, aNews.getEnded());
-  message.mNews.mUnread = Keys(message.mBoot, aNews.getUnread());
-  message.mNews.mUnwilling = ReadNumbers(aNews.getUnwilling());
-  message.mNews.mTroubled = ReadNumbers(aNews.getTroubled());
-  ReadLimits(aNews, message.mNews, aNow);
-  ReadCrashes(aNews, message.mNews);
+  message.mUpdates.mEnded = Keys(message.mBoot, aNews.getEnded());
+  message.mUpdates.mUnread = Keys(message.mBoot, aNews.getUnread());
+  message.mUpdates.mHelpRefused = ReadNumbers(aNews.getUnwilling());
+  message.mUpdates.mTroubled = ReadNumbers(aNews.getTroubled());
+  ReadLimits(aNews, message.mUpdates, aNow);
+  ReadCrashes(aNews, message.mUpdates);
   for (const capnp::Text::Reader host : aNews.getPeers()) {
     message.mHosts.emplace_back(host.cStr());
   }
@@ -257,7 +257,7 @@
 } // namespace
 
 std::string
-EncodeNews(const peer_message& aMessage, time_point aNow)
+EncodePeerMessage(const peer_message& aMessage, time_point aNow)
 {
   capnp::MallocMessageBuilder builder;
   wire::PeerNews::Builder news = builder.initRoot<wire::PeerNews>();
@@ -265,8 +265,8 @@
   news.setLeaving(aMessage.mLeaving);
   news.setManifest(aMessage.mManifest);
   news.setList(aMessage.mList);
-  news.setHeldState(aMessage.mHeldState);
-  WriteNews(news, aMessage.mNews, aNow);
+  news.setHeldState(aMessage.mQuarantineHash);
+  WriteNews(news, aMessage.mUpdates, aNow);
   if (!aMessage.mHosts.empty()) {
     capnp::List<capnp::Text>::Builder hosts =
       news.initPeers(static_cast<unsigned>(aMessage.mHosts.size()));
@@ -281,7 +281,7 @@
 }
 
 result<peer_message>
-DecodeNews(std::string_view aBytes, time_point aNow)
+DecodePeerMessage(std::string_view aBytes, time_point aNow)
 {
   // The library answers a message that is none with an exception.
   try {
--- a/Libraries/LibGateway/PeerSnapshot.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned kGood = 200;
 /// A peer answers within milliseconds; one that does not is in trouble itself.
-constexpr duration kAskTimeout = std::chrono::milliseconds(400);
+constexpr duration kFetchTimeout = std::chrono::milliseconds(400);
 /// A manifest of some thousand routes with two thousand endpoints, in words of
 /// eight bytes.
 constexpr std::size_t kMostWords = std::size_t{ 4 } * 1024 * 1024;
@@ -49,7 +49,7 @@
 } // namespace
 
 std::string
-EncodeBeliefs(const believed_rows& aRows)
+EncodeSnapshot(const table_snapshot& aRows)
 {
   capnp::MallocMessageBuilder message;
   wire::PeerBeliefs::Builder beliefs = message.initRoot<wire::PeerBeliefs>();
@@ -66,8 +66,8 @@
   return { bytes.begin(), bytes.size() };
 }
 
-result<believed_rows>
-DecodeBeliefs(const std::string& aBytes)
+result<table_snapshot>
+DecodeSnapshot(const std::string& aBytes)
 {
   const std::size_t size = aBytes.size() / sizeof(capnp::word);
   if (aBytes.empty() || aBytes.size() % sizeof(capnp::word) != 0 ||
@@ -84,7 +84,7 @@
                                          options);
     const wire::PeerBeliefs::Reader beliefs =
       reader.getRoot<wire::PeerBeliefs>();
-    believed_rows rows;
+    table_snapshot rows;
     if (beliefs.hasManifest()) {
       rows.mManifest = ReadRow(beliefs.getManifest());
     }
@@ -97,48 +97,49 @@
   }
 }
 
-peer_beliefs::peer_beliefs(event_loop& aLoop, const gateway_settings& aSettings)
+snapshot_exchange::snapshot_exchange(event_loop& aLoop,
+                                     const gateway_settings& aSettings)
   : mLoop(aLoop)
   , mSettings(aSettings)
 {
 }
 
 result<void>
-peer_beliefs::Open(held aHeld)
+snapshot_exchange::Open(held aHeld)
 {
   BOOST_LEAF_ASSIGN(
     mListener,
     tcp_listener::Open(
       mLoop, mSettings.mPeers, [this, held = std::move(aHeld)](int aSocket) {
-        probe_connection::Serve(mLoop, aSocket, [held]() {
-          return probe_connection::answer{ kGood, EncodeBeliefs(held()) };
+        http_responder::Serve(mLoop, aSocket, [held]() {
+          return http_responder::answer{ kGood, EncodeSnapshot(held()) };
         });
       }));
   return {};
 }
 
 void
-peer_beliefs::Ask(const std::string& aHost, received aReceived)
+snapshot_exchange::Ask(const std::string& aHost, received aReceived)
 {
-  if (mAsking) {
+  if (mFetching) {
     return;
   }
-  mAsking = true;
+  mFetching = true;
   // The question before this one may be what asks, from within its own answer.
   mLoop.DeleteLater(std::move(mCaller));
   mCaller = std::make_shared<http_caller>(
     mLoop, ip_address{ aHost, mSettings.mPeers.mPort });
   mCaller->Call(
     { "GET", "/beliefs", "", "", {} },
-    kAskTimeout,
+    kFetchTimeout,
     [this, aHost, then = std::move(aReceived)](const http_answer& aAnswer) {
-      mAsking = false;
-      const outcome<believed_rows> rows =
-        Capture<believed_rows>([&aAnswer]() -> result<believed_rows> {
+      mFetching = false;
+      const outcome<table_snapshot> rows =
+        Capture<table_snapshot>([&aAnswer]() -> result<table_snapshot> {
           if (aAnswer.mStatus != kGood) {
             return Fail(error_kind::StoreUnavailable, "no answer");
           }
-          return DecodeBeliefs(aAnswer.mBody);
+          return DecodeSnapshot(aAnswer.mBody);
         });
       Log(log_level::Info,
           "peer_asked",
--- a/Libraries/LibGateway/PeerSnapshot.h
+++ b/Libraries/LibGateway/PeerSnapshot.h
@@ -8,30 +8,30 @@
 
 namespace primrose {
 
-struct believed_rows
+struct table_snapshot
 {
   std::optional<row_change<std::string>> mManifest;
   std::vector<row_change<std::string>> mEndpoints;
 
-  bool operator==(const believed_rows&) const = default;
+  bool operator==(const table_snapshot&) const = default;
 };
 
 std::string
-EncodeBeliefs(const believed_rows& aRows);
-result<believed_rows>
-DecodeBeliefs(const std::string& aBytes);
+EncodeSnapshot(const table_snapshot& aRows);
+result<table_snapshot>
+DecodeSnapshot(const std::string& aBytes);
 
 /// Serves this entry's rows to its peers and asks a peer for its own.
-class peer_beliefs
+class snapshot_exchange
 {
 public:
-  using held = std::function<believed_rows()>;
+  using held = std::function<table_snapshot()>;
   /// Nothing if the peer gave no answer that can be read.
-  using received = std::function<void(const std::optional<believed_rows>&)>;
+  using received = std::function<void(const std::optional<table_snapshot>&)>;
 
-  peer_beliefs(event_loop& aLoop, const gateway_settings& aSettings);
-  peer_beliefs(const peer_beliefs&) = delete;
-  peer_beliefs& operator=(const peer_beliefs&) = delete;
+  snapshot_exchange(event_loop& aLoop, const gateway_settings& aSettings);
+  snapshot_exchange(const snapshot_exchange&) = delete;
+  snapshot_exchange& operator=(const snapshot_exchange&) = delete;
 
   result<void> Open(held aHeld);
   /// Asks one peer; does nothing while a question is open.
@@ -42,7 +42,7 @@
   const gateway_settings& mSettings;
   std::unique_ptr<tcp_listener> mListener;
   std::shared_ptr<http_caller> mCaller;
-  bool mAsking = false;
+  bool mFetching = false;
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -20,19 +20,19 @@
 } // namespace
 
 std::string
-HeldKey(request_digest aRequest)
+QuarantineRowKey(request_digest aRequest)
 {
   return DigestText(aRequest);
 }
 
 std::string
-TrialKey(request_digest aRequest, unsigned aTrial)
+TrialRowKey(request_digest aRequest, unsigned aTrial)
 {
   return DigestText(aRequest) + '-' + std::to_string(aTrial);
 }
 
 std::optional<quarantined_request>
-ReadQuarantineKey(std::string_view aKey)
+ParseQuarantineRowKey(std::string_view aKey)
 {
   quarantined_request held;
   const char* const end = aKey.data() + aKey.size();
@@ -66,12 +66,12 @@
 void
 quarantine_table::Learn(learnt aLearnt)
 {
-  mLearnt = std::move(aLearnt);
-  LearnFrom("");
+  mOnLoaded = std::move(aLearnt);
+  LoadRowsFrom("");
 }
 
 void
-quarantine_table::LearnFrom(const std::string& aKey)
+quarantine_table::LoadRowsFrom(const std::string& aKey)
 {
   mCaller.Call(mAdapter.mReadTable(mAdapter.mQuarantineTable, aKey),
                kTimeout,
@@ -79,45 +79,46 @@
                  const table_reading reading = mAdapter.mDecodeTable(aAnswer);
                  CountStoreCall(mBoard.mMetrics, reading.mOutcome);
                  if (reading.mOutcome != table_reading::outcome::Good) {
-                   mLearnNext = aKey;
-                   TryLater();
+                   mNextKeyToLoad = aKey;
+                   RetryLater();
                    return;
                  }
                  for (const row_change<std::string>& row : reading.mRows) {
                    const std::optional<quarantined_request> said =
-                     ReadQuarantineKey(row.mKey);
+                     ParseQuarantineRowKey(row.mKey);
                    if (said.has_value()) {
                      quarantined_request& held = mRead[said->mRequest];
                      held.mRequest = said->mRequest;
                      held.mTrials = std::max(held.mTrials, said->mTrials);
                    }
                  }
-                 if (GoesOn(reading)) {
-                   LearnFrom(NextKey(reading));
+                 if (HasMoreRows(reading)) {
+                   LoadRowsFrom(NextPageKey(reading));
                    return;
                  }
                  std::vector<quarantined_request> all;
                  for (const auto& [request, held] : std::exchange(mRead, {})) {
                    all.push_back(held);
                  }
-                 mLearnt(all);
+                 mOnLoaded(all);
                });
 }
 
 void
 quarantine_table::Add(request_digest aRequest)
 {
-  mCaller.Call(
-    mAdapter.mInsertRow(mAdapter.mQuarantineTable, HeldKey(aRequest), "held"),
-    kTimeout,
-    [this, aRequest](const http_answer& aAnswer) {
-      const write_outcome outcome = mAdapter.mReadWrite(aAnswer);
-      if (outcome == write_outcome::Done || outcome == write_outcome::Exists) {
-        return;
-      }
-      mToAdd.insert(aRequest);
-      TryLater();
-    });
+  mCaller.Call(mAdapter.mInsertRow(
+                 mAdapter.mQuarantineTable, QuarantineRowKey(aRequest), "held"),
+               kTimeout,
+               [this, aRequest](const http_answer& aAnswer) {
+                 const write_outcome outcome = mAdapter.mReadWrite(aAnswer);
+                 if (outcome == write_outcome::Done ||
+                     outcome == write_outcome::Exists) {
+                   return;
+                 }
+                 mToAdd.insert(aRequest);
+                 RetryLater();
+               });
 }
 
 void
@@ -126,7 +127,7 @@
                              claimed aClaimed)
 {
   mCaller.Call(mAdapter.mInsertRow(mAdapter.mQuarantineTable,
-                                   TrialKey(aRequest, aTrial),
+                                   TrialRowKey(aRequest, aTrial),
                                    "taken"),
                kClaimTimeout,
                [this, then = std::move(aClaimed)](const http_answer& aAnswer) {
@@ -137,16 +138,16 @@
 void
 quarantine_table::Remove(request_digest aRequest)
 {
-  std::vector<std::string> keys = { HeldKey(aRequest) };
+  std::vector<std::string> keys = { QuarantineRowKey(aRequest) };
   for (unsigned trial = 1; trial <= kMaxTrials; ++trial) {
-    keys.push_back(TrialKey(aRequest, trial));
+    keys.push_back(TrialRowKey(aRequest, trial));
   }
   mCaller.Call(mAdapter.mRemoveRows(mAdapter.mQuarantineTable, keys),
                kTimeout,
                [this, aRequest](const http_answer& aAnswer) {
                  if (mAdapter.mReadWrite(aAnswer) != write_outcome::Done) {
                    mToRemove.insert(aRequest);
-                   TryLater();
+                   RetryLater();
                  }
                });
 }
@@ -154,18 +155,18 @@
 void
 quarantine_table::RetryNow()
 {
-  mTryAgain = mLoop.Now();
+  mRetryAt = mLoop.Now();
   Tick();
 }
 
 void
 quarantine_table::Tick()
 {
-  if (mLoop.Now() < mTryAgain) {
+  if (mLoop.Now() < mRetryAt) {
     return;
   }
-  if (mLearnNext.has_value()) {
-    LearnFrom(*std::exchange(mLearnNext, std::nullopt));
+  if (mNextKeyToLoad.has_value()) {
+    LoadRowsFrom(*std::exchange(mNextKeyToLoad, std::nullopt));
   }
   for (const request_digest request : std::exchange(mToAdd, {})) {
     if (mBoard.mQuarantine.mHeld.contains(request)) {
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -39,8 +39,8 @@
   void RetryNow();
 
 private:
-  void LearnFrom(const std::string& aKey);
-  void TryLater() { mTryAgain = mLoop.Now() + kPause; }
+  void LoadRowsFrom(const std::string& aKey);
+  void RetryLater() { mRetryAt = mLoop.Now() + kPause; }
   /// Between two tries: 350 entries together make 500 of the store's 2,000
   /// calls a second while it turns all of them away.
   static constexpr duration kPause = std::chrono::milliseconds(700);
@@ -48,21 +48,22 @@
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
-  learnt mLearnt;
+  learnt mOnLoaded;
   std::map<request_digest, quarantined_request> mRead;
-  std::optional<std::string> mLearnNext; ///< From this key on, at `mTryAgain`.
+  std::optional<std::string>
+    mNextKeyToLoad; ///< From this key on, at `mRetryAt`.
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
-  time_point mTryAgain{};
+  time_point mRetryAt{};
   http_caller mCaller;
 };
 
 /// A row's key, and what it says; nothing if the key is none of this table.
 std::string
-HeldKey(request_digest aRequest);
+QuarantineRowKey(request_digest aRequest);
 std::string
-TrialKey(request_digest aRequest, unsigned aTrial);
+TrialRowKey(request_digest aRequest, unsigned aTrial);
 std::optional<quarantined_request>
-ReadQuarantineKey(std::string_view aKey);
+ParseQuarantineRowKey(std::string_view aKey);
 
 } // namespace primrose
--- a/Libraries/LibGateway/ReachabilityCheck.cpp
+++ b/Libraries/LibGateway/ReachabilityCheck.cpp
@@ -8,7 +8,7 @@
                                        found aFound)
   : mLoop(aLoop)
   , mChannel(aConnections.Connect(aAddress))
-  , mFound(std::move(aFound))
+  , mOnResult(std::move(aFound))
 {
   mChannel->SetOwner(this);
   mTimer = mLoop.After(kConnectTimeout, [this]() {
@@ -45,7 +45,7 @@
   mChannel->Close();
   mLoop.DeleteLater(std::move(mChannel));
   mChannel = nullptr;
-  const found notify = std::exchange(mFound, {});
+  const found notify = std::exchange(mOnResult, {});
   if (notify) {
     notify(aResult);
   }
--- a/Libraries/LibGateway/ReachabilityCheck.h
+++ b/Libraries/LibGateway/ReachabilityCheck.h
@@ -38,7 +38,7 @@
 
   event_loop& mLoop;
   std::shared_ptr<tcp_channel> mChannel;
-  found mFound;
+  found mOnResult;
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -2,11 +2,11 @@
 
 namespace primrose {
 
-belief_watch::belief_watch(event_loop& aLoop,
-                           gateway_board& aBoard,
-                           std::string aName,
-                           held aHeld,
-                           behind aBehind)
+staleness_detector::staleness_detector(event_loop& aLoop,
+                                       gateway_board& aBoard,
+                                       std::string aName,
+                                       held aHeld,
+                                       behind aBehind)
   : mLoop(aLoop)
   , mBoard(aBoard)
   , mName(std::move(aName))
@@ -15,24 +15,24 @@
 {
 }
 
-belief_watch::~belief_watch()
+staleness_detector::~staleness_detector()
 {
   mLoop.Cancel(mTimer);
 }
 
 bool
-belief_watch::Behind() const
+staleness_detector::Behind() const
 {
   const std::optional<std::uint64_t> own = mHeld();
   return own.has_value() && *own < mNewest;
 }
 
 void
-belief_watch::Told(std::uint64_t aNewest)
+staleness_detector::Told(std::uint64_t aNewest)
 {
   mNewest = aNewest;
   if (!Behind()) {
-    NoteLevel();
+    RecordCaughtUp();
     return;
   }
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
@@ -43,28 +43,29 @@
 }
 
 void
-belief_watch::Wait()
+staleness_detector::Wait()
 {
   const std::uint64_t own = mHeld().value_or(0);
-  mAskedInVain = own == mHeldBefore ? mAskedInVain : 0;
-  mHeldBefore = own;
+  mChecksWithoutProgress =
+    own == mVersionAtLastCheck ? mChecksWithoutProgress : 0;
+  mVersionAtLastCheck = own;
   // What a peer has just been told is on its way here too; only what does not
   // come shows that this entry's own question has gone silent.
-  const duration patience = CatchUpTimeout(mAskedInVain);
+  const duration patience = CatchUpTimeout(mChecksWithoutProgress);
   mTimer = mLoop.After(patience, [this, patience]() {
     mTimer = 0;
     if (!Behind()) {
-      NoteLevel();
+      RecordCaughtUp();
       return;
     }
-    ++mAskedInVain;
+    ++mChecksWithoutProgress;
     mBehind(patience);
     Wait();
   });
 }
 
 void
-belief_watch::NoteLevel()
+staleness_detector::RecordCaughtUp()
 {
   std::optional<time_point>& since = mBoard.mBehindSince[mName];
   // What a peer was told a moment earlier is not worth a line.
--- a/Libraries/LibGateway/StalenessDetector.h
+++ b/Libraries/LibGateway/StalenessDetector.h
@@ -8,7 +8,7 @@
 
 namespace primrose {
 
-class belief_watch
+class staleness_detector
 {
 public:
   /// How new this entry's belief is; nothing while it has none at all, which is
@@ -18,14 +18,14 @@
   using behind = std::function<void(duration aPatience)>;
 
   /// `aName` stands in logs and metrics.
-  belief_watch(event_loop& aLoop,
-               gateway_board& aBoard,
-               std::string aName,
-               held aHeld,
-               behind aBehind);
-  ~belief_watch();
-  belief_watch(const belief_watch&) = delete;
-  belief_watch& operator=(const belief_watch&) = delete;
+  staleness_detector(event_loop& aLoop,
+                     gateway_board& aBoard,
+                     std::string aName,
+                     held aHeld,
+                     behind aBehind);
+  ~staleness_detector();
+  staleness_detector(const staleness_detector&) = delete;
+  staleness_detector& operator=(const staleness_detector&) = delete;
 
   /// The newest that the peers have told of that are there.
   void Told(std::uint64_t aNewest);
@@ -33,7 +33,7 @@
 private:
   bool Behind() const;
   void Wait();
-  void NoteLevel();
+  void RecordCaughtUp();
 
   event_loop& mLoop;
   gateway_board& mBoard;
@@ -41,8 +41,8 @@
   held mHeld;
   behind mBehind;
   std::uint64_t mNewest = 0;
-  std::uint64_t mHeldBefore = 0; ///< When the patience was last begun.
-  unsigned mAskedInVain = 0;
+  std::uint64_t mVersionAtLastCheck = 0; ///< When the patience was last begun.
+  unsigned mChecksWithoutProgress = 0;
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr duration kWaitSlack = std::chrono::milliseconds(500);
+constexpr duration kLongPollSlack = std::chrono::milliseconds(500);
 /// A whole reading takes some milliseconds; a slow platform up to 250.
 constexpr duration kReadTimeout = std::chrono::milliseconds(900);
 /// Answers over these are logged: a few versions of a manifest of some hundred
@@ -19,11 +19,11 @@
 /// So many bytes of versions that are replaced within the same answer show that
 /// changes come faster than they are read here, as on a narrow link or after a
 /// pause of the machine. 256 KB take a seventh of a second at 20 Mbit/s.
-constexpr std::size_t kMostReplaced = std::size_t{ 256 } * 1024;
+constexpr std::size_t kMaxSupersededBytes = std::size_t{ 256 } * 1024;
 
 /// Bytes of rows of which the same answer has a later version.
 std::size_t
-ReplacedBytes(const table_reading& aReading)
+SupersededBytes(const table_reading& aReading)
 {
   std::set<std::string_view> later;
   std::size_t bytes = 0;
@@ -39,13 +39,13 @@
 } // namespace
 
 bool
-GoesOn(const table_reading& aReading)
+HasMoreRows(const table_reading& aReading)
 {
   return aReading.mTruncated && !aReading.mRows.empty();
 }
 
 std::string
-NextKey(const table_reading& aReading)
+NextPageKey(const table_reading& aReading)
 {
   return aReading.mRows.back().mKey + '\x01';
 }
@@ -61,7 +61,7 @@
   , mAdapter(aAdapter)
   , mBoard(aBoard)
   , mTable(std::move(aTable))
-  , mGather(aGather)
+  , mChangeBatchDelay(aGather)
   , mListener(std::move(aListener))
   , mCaller(aLoop, aStore)
 {
@@ -75,14 +75,14 @@
 void
 table_follower::Start()
 {
-  ReadWhole("");
+  ReadTableFrom("");
 }
 
 void
 table_follower::Refresh(duration aPatience)
 {
   // What peers know already is asked for when the changes have gathered.
-  if (mGathering) {
+  if (mChangeBatchPending) {
     return;
   }
   // A question that was just asked, or whose answer is coming, is not silent.
@@ -107,7 +107,7 @@
       Labelled("gateway_store_given_up_total", "table", mTable));
     // A silent path gives no error: unless the question counts as unanswered,
     // the store never counts as lost here, and no peer is asked.
-    NoteTrouble(table_reading{});
+    RecordFailure(table_reading{});
   }
   mCaller.Abandon();
   mLoop.Cancel(mTimer);
@@ -117,15 +117,15 @@
 void
 table_follower::Ask()
 {
-  if (mRevision.has_value() && !mMissed) {
+  if (mRevision.has_value() && !mMayHaveMissedChanges) {
     ReadChanges();
   } else {
-    ReadWhole("");
+    ReadTableFrom("");
   }
 }
 
 void
-table_follower::ReadWhole(const std::string& aFromKey)
+table_follower::ReadTableFrom(const std::string& aFromKey)
 {
   if (aFromKey.empty()) {
     mGathered = table_reading{};
@@ -133,7 +133,7 @@
   mCaller.Call(
     mAdapter.mReadTable(mTable, aFromKey),
     kReadTimeout,
-    [this](const http_answer& aAnswer) { OnWhole(Decode(aAnswer)); });
+    [this](const http_answer& aAnswer) { OnTablePage(Decode(aAnswer)); });
 }
 
 table_reading
@@ -157,26 +157,26 @@
 }
 
 void
-table_follower::OnWhole(table_reading aReading)
+table_follower::OnTablePage(table_reading aReading)
 {
   if (aReading.mOutcome != table_reading::outcome::Good) {
-    OnTrouble(aReading);
+    RetryAfterFailure(aReading);
     return;
   }
-  NoteReached();
+  RecordSuccess();
   const bool first = mGathered.mRows.empty();
   // A table in several answers is as old as the first of them.
   mGathered.mRevision = first ? aReading.mRevision : mGathered.mRevision;
   mGathered.mRows.insert(
     mGathered.mRows.end(), aReading.mRows.begin(), aReading.mRows.end());
-  if (GoesOn(aReading)) {
-    ReadWhole(NextKey(aReading));
+  if (HasMoreRows(aReading)) {
+    ReadTableFrom(NextPageKey(aReading));
     return;
   }
   // A reading may be behind what was known; what came before stays known.
   mRevision = std::max(mRevision.value_or(0), mGathered.mRevision);
-  mMissed = false;
-  mAfterChange = true;
+  mMayHaveMissedChanges = false;
+  mJitterNextPoll = true;
   mListener.mWhole(mGathered);
   mGathered = table_reading{};
   ReadChanges();
@@ -187,11 +187,11 @@
 {
   const duration wait = LongPollWait(
     mBoard.mPeers.size(),
-    mAfterChange ? std::optional(Uniform(mBoard.mRandom)) : std::nullopt);
-  mAfterChange = false;
+    mJitterNextPoll ? std::optional(Uniform(mBoard.mRandom)) : std::nullopt);
+  mJitterNextPoll = false;
   mCaller.Call(
     mAdapter.mReadChanges(mTable, *mRevision, wait),
-    wait + kWaitSlack,
+    wait + kLongPollSlack,
     [this](const http_answer& aAnswer) { OnChanges(Decode(aAnswer)); });
 }
 
@@ -199,40 +199,40 @@
 table_follower::OnChanges(const table_reading& aReading)
 {
   if (aReading.mOutcome != table_reading::outcome::Good) {
-    OnTrouble(aReading);
+    RetryAfterFailure(aReading);
     return;
   }
-  NoteReached();
+  RecordSuccess();
   mFailures = 0;
   mRevision = std::max(*mRevision, aReading.mRevision);
   if (aReading.mRows.empty()) {
     ReadChanges();
     return;
   }
-  mAfterChange = true;
+  mJitterNextPoll = true;
   mListener.mChanges(aReading);
-  mMissed = ReplacedBytes(aReading) > kMostReplaced;
-  if (mMissed) {
+  mMayHaveMissedChanges = SupersededBytes(aReading) > kMaxSupersededBytes;
+  if (mMayHaveMissedChanges) {
     Ask();
     return;
   }
-  mGathering = true;
-  mTimer = mLoop.After(mGather, [this]() {
+  mChangeBatchPending = true;
+  mTimer = mLoop.After(mChangeBatchDelay, [this]() {
     mTimer = 0;
-    mGathering = false;
+    mChangeBatchPending = false;
     ReadChanges();
   });
 }
 
 void
-table_follower::NoteReached()
+table_follower::RecordSuccess()
 {
   if (!mReached) {
     Log(log_level::Info,
         "store_reached",
         { { "table", mTable },
           { "away_ms",
-            mTroubled ? Milliseconds(mLoop.Now() - mTroubledSince) : 0 },
+            mTroubled ? Milliseconds(mLoop.Now() - mFailingSince) : 0 },
           { "failures", mFailures } });
   }
   mBoard.mStoreReached[mTable] = mLoop.Now();
@@ -242,7 +242,7 @@
 }
 
 void
-table_follower::NoteTrouble(const table_reading& aReading)
+table_follower::RecordFailure(const table_reading& aReading)
 {
   const bool lost = aReading.mOutcome == table_reading::outcome::HistoryLost;
   if (lost) {
@@ -251,7 +251,7 @@
         { { "table", mTable }, { "revision", mRevision.value_or(0) } });
   } else if (!mTroubled) {
     mTroubled = true;
-    mTroubledSince = mLoop.Now();
+    mFailingSince = mLoop.Now();
     Log(
       log_level::Warning,
       "store_lost",
@@ -262,15 +262,15 @@
         { "revision", mRevision.value_or(0) } });
   }
   mReached = mReached && lost;
-  mMissed = true;
+  mMayHaveMissedChanges = true;
   CountStoreCall(mBoard.mMetrics, aReading.mOutcome);
   mBoard.mMetrics.Count("gateway_store_failures_total");
 }
 
 void
-table_follower::OnTrouble(const table_reading& aReading)
+table_follower::RetryAfterFailure(const table_reading& aReading)
 {
-  NoteTrouble(aReading);
+  RecordFailure(aReading);
   const duration pause =
     StoreBackoff(mFailures++, mBoard.mPeers.size(), Uniform(mBoard.mRandom));
   mTimer = mLoop.After(pause, [this]() {
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -9,11 +9,11 @@
 
 /// True if the table has more rows than this answer.
 bool
-GoesOn(const table_reading& aReading);
+HasMoreRows(const table_reading& aReading);
 
 /// Where the next answer begins: the first key that sorts behind the last one.
 std::string
-NextKey(const table_reading& aReading);
+NextPageKey(const table_reading& aReading);
 
 class table_follower
 {
@@ -49,22 +49,23 @@
 private:
   /// The changes since the newest revision that is known, or the whole table.
   void Ask();
-  void ReadWhole(const std::string& aFromKey);
+  void ReadTableFrom(const std::string& aFromKey);
   /// Reads an answer; logs what took long, or carried much.
   table_reading Decode(const http_answer& aAnswer);
-  void OnWhole(table_reading aReading);
+  void OnTablePage(table_reading aReading);
   void ReadChanges();
   void OnChanges(const table_reading& aReading);
-  void NoteTrouble(const table_reading& aReading);
-  void OnTrouble(const table_reading& aReading);
-  void NoteReached();
+  void RecordFailure(const table_reading& aReading);
+  void RetryAfterFailure(const table_reading& aReading);
+  void RecordSuccess();
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
   gateway_board& mBoard;
   std::string mTable;
-  duration mGather;
-  bool mGathering = false; ///< The next question waits for further changes.
+  duration mChangeBatchDelay;
+  bool mChangeBatchPending =
+    false; ///< The next question waits for further changes.
   listener mListener;
   http_caller mCaller;
   table_reading mGathered;
@@ -72,12 +73,12 @@
   /// Changes may have been missed. They are not asked for one after the other,
   /// which brings each version of each row that there was: the whole table has
   /// one of each.
-  bool mMissed = false;
+  bool mMayHaveMissedChanges = false;
   /// The last answer came to all entries at one moment.
-  bool mAfterChange = false;
+  bool mJitterNextPoll = false;
   bool mReached = false;
   bool mTroubled = false;
-  time_point mTroubledSince{};
+  time_point mFailingSince{};
   unsigned mFailures = 0;
   timer_id mTimer = 0;
 };
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -215,8 +215,8 @@
     two_entries entries("stream", 10);
     entries.EndThree();
     const std::size_t sends = entries.mPool.mSends;
-    const std::string row =
-      HeldKey(entries.mSecond->Board().mQuarantine.mHeld.begin()->first);
+    const std::string row = QuarantineRowKey(
+      entries.mSecond->Board().mQuarantine.mHeld.begin()->first);
     entries.mWorld.Until(
       [&entries, &row]() {
         return entries.mWorld.mStore.Has("quarantine", row);
@@ -254,8 +254,8 @@
     gateway_adapter mAdapter = platform::Adapter();
     gateway_board mBoard;
     endpoint_connections mConnections;
-    news_outbox mOutbox;
-    crash_watch mWatch;
+    gossip_sender mOutbox;
+    crash_detector mWatch;
   };
 
   /// Symptom: a held request ends as many endpoints as there are entries once
@@ -288,11 +288,12 @@
     bool granted = false;
     one.mWatch.ClaimTrial(kHeld, [&granted](bool aMay) { granted = aMay; });
     w.Until([&granted]() { return granted; }, "the trial");
-    CPPUNIT_ASSERT(w.mStore.Has("quarantine", TrialKey(kHeld, 1)));
-    one.mWatch.OnServed(kHeld);
+    CPPUNIT_ASSERT(w.mStore.Has("quarantine", TrialRowKey(kHeld, 1)));
+    one.mWatch.OnRequestAnswered(kHeld);
     CPPUNIT_ASSERT(one.mWatch.Verdict(kHeld) == quarantine_verdict::Send);
-    w.Until([&w]() { return !w.mStore.Has("quarantine", TrialKey(kHeld, 1)); },
-            "its rows are gone");
+    w.Until(
+      [&w]() { return !w.mStore.Has("quarantine", TrialRowKey(kHeld, 1)); },
+      "its rows are gone");
   }
 
   /// Symptom: sound requests are refused after a link was reset some times.
@@ -379,9 +380,9 @@
     lone_watch one(w, 0);
     (void)ApplyRow(one.mBoard.mEndpoints,
                    { "i-desk", 1, endpoint{ "i-desk", {}, "desk", "a", 1 } });
-    one.mWatch.OnBroken({ kLeft, "i-desk", false, false });
+    one.mWatch.OnAttemptFailed({ kLeft, "i-desk", false, false });
     CPPUNIT_ASSERT(one.mBoard.mQuarantine.mSuspects.empty());
-    one.mWatch.HearCrash({ 7, EngineKey("i-desk"), false }, "peer");
+    one.mWatch.OnPeerCrashReport({ 7, EngineKey("i-desk"), false }, "peer");
     CPPUNIT_ASSERT(one.mBoard.mQuarantine.mSuspects.contains(kLeft));
     CPPUNIT_ASSERT(one.mBoard.mQuarantine.mSuspects.contains(7));
   }
--- a/Tests/Gateway/TableSyncTest.cpp
+++ b/Tests/Gateway/TableSyncTest.cpp
@@ -222,7 +222,8 @@
       peers.push_back(OpenPeer(w, host, heard[host]));
       peer_message beat;
       beat.mBoot = i;
-      peers.back()->Send(EncodeNews(beat, w.mLoop.Now()), w.mSettings.mPeers);
+      peers.back()->Send(EncodePeerMessage(beat, w.mLoop.Now()),
+                         w.mSettings.mPeers);
     }
     const gateway_board& board = w.mGateway->Board();
     w.Until(
@@ -270,8 +271,8 @@
           ip_address{ aHost, aWorld.mSettings.mPeers.mPort },
           [&loop, &aPlaced](std::string_view aBytes, const ip_address&) {
             const outcome<peer_message> read = Capture<peer_message>(
-              [&]() { return DecodeNews(aBytes, loop.Now()); });
-            aPlaced += read ? read.mValue->mNews.mPlaced.size() : 0;
+              [&]() { return DecodePeerMessage(aBytes, loop.Now()); });
+            aPlaced += read ? read.mValue->mUpdates.mPlaced.size() : 0;
           });
       });
     CPPUNIT_ASSERT(static_cast<bool>(opened));
@@ -300,15 +301,15 @@
 
   void BeliefsSurviveTheWire()
   {
-    believed_rows rows;
+    table_snapshot rows;
     rows.mManifest = { "config", 7, std::string("{\0}", 3) };
     rows.mEndpoints = { { "a", 3, "x" }, { "b", 9, std::nullopt } };
-    const outcome<believed_rows> read = Capture<believed_rows>(
-      [&rows]() { return DecodeBeliefs(EncodeBeliefs(rows)); });
+    const outcome<table_snapshot> read = Capture<table_snapshot>(
+      [&rows]() { return DecodeSnapshot(EncodeSnapshot(rows)); });
     CPPUNIT_ASSERT(read);
     CPPUNIT_ASSERT(*read.mValue == rows);
-    CPPUNIT_ASSERT(!Capture<believed_rows>(
-      []() { return DecodeBeliefs("garbage!garbage!"); }));
+    CPPUNIT_ASSERT(!Capture<table_snapshot>(
+      []() { return DecodeSnapshot("garbage!garbage!"); }));
   }
 
   /// Symptom: a request is cut six seconds after the entry was told to stop,
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -162,14 +162,14 @@
                 aParts,
                 aRandom);
     peer_message news = EmptyMessage();
-    news.mNews.mPlaced = { placed };
+    news.mUpdates.mPlaced = { placed };
     peer_message end = EmptyMessage();
-    end.mNews.mEnded = { placed.mKey };
+    end.mUpdates.mEnded = { placed.mKey };
     const std::size_t concerned =
       HostsThatPrefer(aFleet.mRing, aFleet.mPeers, placed.mEngines).size();
     std::size_t sent = 0;
     for (const peer_message& one : { news, end }) {
-      const std::size_t bytes = EncodeNews(one, aNow).size();
+      const std::size_t bytes = EncodePeerMessage(one, aNow).size();
       sent += bytes * TakeRecipientCount(aBudget, concerned, bytes, aNow);
     }
     return sent;
@@ -184,7 +184,7 @@
     constexpr std::size_t kOneInLong = 50;
     constexpr std::size_t kParts = 17;
     constexpr std::size_t kHostsInBeat = 16;
-    constexpr std::size_t kBeatsPerNamedHosts = 4;
+    constexpr std::size_t kHeartbeatsPerHostList = 4;
     const sized_fleet fleet = FleetOf(aEntries, aEngines);
     peer_send_budget budget;
     random_engine random(5);
@@ -198,13 +198,13 @@
       sent += BytesOfRequest(fleet, parts, budget, random, now);
     }
     peer_message beat = EmptyMessage();
-    beat.mHeldState = kBoot;
-    const std::size_t plain = EncodeNews(beat, kStart).size();
+    beat.mQuarantineHash = kBoot;
+    const std::size_t plain = EncodePeerMessage(beat, kStart).size();
     beat.mHosts.assign(kHostsInBeat, "10.255.255.255");
-    const std::size_t naming = EncodeNews(beat, kStart).size();
+    const std::size_t naming = EncodePeerMessage(beat, kStart).size();
     const std::size_t beats = PeersPerHeartbeat(aEntries - 1) * kSeconds;
-    sent += beats * (naming + (kBeatsPerNamedHosts - 1) * plain) /
-            kBeatsPerNamedHosts;
+    sent += beats * (naming + (kHeartbeatsPerHostList - 1) * plain) /
+            kHeartbeatsPerHostList;
     return static_cast<double>(sent) / kSeconds;
   }
 
@@ -221,10 +221,10 @@
       const std::size_t here =
         (aReports * (i + 1)) / aDatagrams - (aReports * i) / aDatagrams;
       for (std::size_t j = 0; j < here; ++j) {
-        message.mNews.mCrashes.push_back(
+        message.mUpdates.mCrashes.push_back(
           { random(), static_cast<engine_key>(random()), false });
       }
-      bytes += aPeers * EncodeNews(message, kStart).size();
+      bytes += aPeers * EncodePeerMessage(message, kStart).size();
     }
     return bytes;
   }
@@ -275,9 +275,9 @@
     constexpr double kMostBytesPerSecond = 15e3;
     constexpr double kTellPeriodSeconds = 4;
     peer_message message = EmptyMessage();
-    message.mNews.mLimits = { { 0xfedcba98, 1.6, kStart } };
+    message.mUpdates.mLimits = { { 0xfedcba98, 1.6, kStart } };
     const double bytes =
-      static_cast<double>(EncodeNews(message, kStart).size());
+      static_cast<double>(EncodePeerMessage(message, kStart).size());
     struct size
     {
       std::size_t mEntries;
@@ -314,11 +314,11 @@
     message.mBoot = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
-    message.mNews.mPlaced = { ShortPlacement() };
-    CPPUNIT_ASSERT(EncodeNews(message, kStart).size() <= kShortNews);
-    message.mNews = {};
-    message.mNews.mEnded = { ShortPlacement().mKey };
-    CPPUNIT_ASSERT(EncodeNews(message, kStart).size() <= kShortNews / 2);
+    message.mUpdates.mPlaced = { ShortPlacement() };
+    CPPUNIT_ASSERT(EncodePeerMessage(message, kStart).size() <= kShortNews);
+    message.mUpdates = {};
+    message.mUpdates.mEnded = { ShortPlacement().mKey };
+    CPPUNIT_ASSERT(EncodePeerMessage(message, kStart).size() <= kShortNews / 2);
   }
 
   void NewsComeBackAsTheyWere()
@@ -336,24 +336,24 @@
         *rc::gen::nonEmpty(rc::gen::arbitrary<std::vector<engine_key>>());
       placed.mHolders = *rc::gen::arbitrary<std::vector<engine_key>>();
       placed.mHolderTokens = placed.mHolders.empty() ? 0 : 51000;
-      message.mNews.mPlaced = { placed };
-      message.mNews.mEnded = { PlacementKey(aBoot, 1) };
-      message.mNews.mUnread = { PlacementKey(aBoot, 2) };
-      message.mNews.mUnwilling = { EngineKey(aHost) };
-      message.mNews.mTroubled = { EngineKey(aHost), 7 };
-      message.mNews.mLimits = {
+      message.mUpdates.mPlaced = { placed };
+      message.mUpdates.mEnded = { PlacementKey(aBoot, 1) };
+      message.mUpdates.mUnread = { PlacementKey(aBoot, 2) };
+      message.mUpdates.mHelpRefused = { EngineKey(aHost) };
+      message.mUpdates.mTroubled = { EngineKey(aHost), 7 };
+      message.mUpdates.mLimits = {
         { EngineKey(aHost), 1.6, kStart - std::chrono::milliseconds(340) },
         { 7, std::nullopt, kStart }
       };
-      message.mNews.mCrashes = { { aBoot, EngineKey(aHost), true },
-                                 { 7, 8, false } };
-      message.mNews.mHeld = { { aBoot, 2, std::chrono::seconds(86399) } };
-      message.mNews.mCleared = { aBoot, 9 };
-      message.mHeldState = *rc::gen::arbitrary<std::uint64_t>();
+      message.mUpdates.mCrashes = { { aBoot, EngineKey(aHost), true },
+                                    { 7, 8, false } };
+      message.mUpdates.mHeld = { { aBoot, 2, std::chrono::seconds(86399) } };
+      message.mUpdates.mCleared = { aBoot, 9 };
+      message.mQuarantineHash = *rc::gen::arbitrary<std::uint64_t>();
       message.mHosts = { "10.1.0.9", "10.2.0.4" };
-      const std::string bytes = EncodeNews(message, kStart);
-      const outcome<peer_message> read =
-        Capture<peer_message>([&bytes]() { return DecodeNews(bytes, kStart); });
+      const std::string bytes = EncodePeerMessage(message, kStart);
+      const outcome<peer_message> read = Capture<peer_message>(
+        [&bytes]() { return DecodePeerMessage(bytes, kStart); });
       RC_ASSERT(static_cast<bool>(read));
       RC_ASSERT(*read.mValue == message);
     });
@@ -367,18 +367,18 @@
     rc::check("mutated news", [](const std::string& aNoise) {
       peer_message message;
       message.mBoot = kBoot;
-      message.mNews.mPlaced = { ShortPlacement() };
-      std::string bytes = EncodeNews(message, kStart);
+      message.mUpdates.mPlaced = { ShortPlacement() };
+      std::string bytes = EncodePeerMessage(message, kStart);
       const std::size_t at = *rc::gen::inRange<std::size_t>(0, bytes.size());
       bytes.replace(at, aNoise.size(), aNoise);
-      const outcome<peer_message> read =
-        Capture<peer_message>([&bytes]() { return DecodeNews(bytes, kStart); });
-      RC_ASSERT(!read || read.mValue->mNews.mPlaced.size() < 4096);
+      const outcome<peer_message> read = Capture<peer_message>(
+        [&bytes]() { return DecodePeerMessage(bytes, kStart); });
+      RC_ASSERT(!read || read.mValue->mUpdates.mPlaced.size() < 4096);
     });
     CPPUNIT_ASSERT(!Capture<peer_message>(
-      []() { return DecodeNews("GET / HTTP/1.1\r\n\r\n", kStart); }));
+      []() { return DecodePeerMessage("GET / HTTP/1.1\r\n\r\n", kStart); }));
     CPPUNIT_ASSERT(
-      !Capture<peer_message>([]() { return DecodeNews("", kStart); }));
+      !Capture<peer_message>([]() { return DecodePeerMessage("", kStart); }));
   }
 };
 
