--- a/Libraries/LibDecision/Admission.h
+++ b/Libraries/LibDecision/Admission.h
@@ -3,7 +3,7 @@
 /// Whether an entry takes a request at all: the organisation's limits.
 
 #include "LibDecision/Limits.h"
-#include "LibDecision/Work.h"
+#include "LibDecision/RequestShape.h"
 
 #include <map>
 #include <string>
--- a/Libraries/LibDecision/AgentBoard.cpp
+++ b/Libraries/LibDecision/AgentState.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/AgentBoard.h"
+#include "LibDecision/AgentState.h"
 
 #include <algorithm>
 
--- a/Libraries/LibDecision/AgentBoard.h
+++ b/Libraries/LibDecision/AgentState.h
@@ -4,7 +4,7 @@
 /// reserved there. It is the truth about the endpoint; nobody else keeps one.
 
 #include "LibDecision/PrefixCache.h"
-#include "LibDecision/Work.h"
+#include "LibDecision/RequestShape.h"
 
 #include <map>
 #include <optional>
--- a/Libraries/LibDecision/Explain.cpp
+++ b/Libraries/LibDecision/DecisionLog.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/Explain.h"
+#include "LibDecision/DecisionLog.h"
 
 #include <array>
 
--- a/Libraries/LibDecision/LibDecision.h
+++ b/Libraries/LibDecision/LibDecision.h
@@ -7,14 +7,14 @@
 /// I/O; tests and experiments call the very same functions in virtual time.
 
 #include "LibDecision/Admission.h"
-#include "LibDecision/AgentBoard.h"
+#include "LibDecision/AgentState.h"
 #include "LibDecision/Claims.h"
+#include "LibDecision/DecisionLog.h"
 #include "LibDecision/Directory.h"
-#include "LibDecision/Explain.h"
 #include "LibDecision/Limits.h"
 #include "LibDecision/Placement.h"
 #include "LibDecision/PrefixCache.h"
+#include "LibDecision/RequestShape.h"
 #include "LibDecision/Retry.h"
 #include "LibDecision/Scheduler.h"
 #include "LibDecision/StreamCursor.h"
-#include "LibDecision/Work.h"
--- a/Libraries/LibDecision/PrefixCache.h
+++ b/Libraries/LibDecision/PrefixCache.h
@@ -4,7 +4,7 @@
 /// of prompt marks. The agent keeps one as its belief about the engine; the
 /// engine model keeps one as the truth.
 
-#include "LibDecision/Work.h"
+#include "LibDecision/RequestShape.h"
 
 #include <list>
 #include <unordered_map>
--- a/Libraries/LibDecision/Work.cpp
+++ b/Libraries/LibDecision/RequestShape.cpp
@@ -1,4 +1,4 @@
-#include "LibDecision/Work.h"
+#include "LibDecision/RequestShape.h"
 
 #include <array>
 
--- a/Libraries/LibDecision/Scheduler.h
+++ b/Libraries/LibDecision/Scheduler.h
@@ -3,7 +3,7 @@
 /// What an agent decides: whether to take work, in which order waiting work
 /// gets memory and a place in the engine's batch, and what has to end.
 
-#include "LibDecision/AgentBoard.h"
+#include "LibDecision/AgentState.h"
 
 #include <vector>
 
