--- a/Libraries/LibDecision/Admission.cpp
+++ b/Libraries/LibDecision/Admission.cpp
@@ -5,14 +5,14 @@
 namespace primrose {
 
 admission
-Admit(organisation_use& aUse,
+Admit(organisation_usage& aUse,
       const organisation_limits& aLimits,
       tokens aTokens,
       time_point aNow)
 {
   const double amount = static_cast<double>(aTokens);
-  NoteDemand(aUse.mDemand, amount, aNow);
-  const double concurrent = aLimits.mConcurrentTokens * aLimits.mShare;
+  RecordDemand(aUse.mDemand, amount, aNow);
+  const double concurrent = aLimits.mConcurrentTokens * aLimits.mEntryShare;
   // One request always may be in flight: a limit smaller than a prompt would
   // otherwise refuse it for ever.
   const bool over =
@@ -22,7 +22,7 @@
     return { admission_verdict::OverConcurrency, kRetrySeconds };
   }
   const std::optional<double> wait = TakeTokens(
-    aUse.mBucket, amount, aLimits.mTokensPerSecond * aLimits.mShare, aNow);
+    aUse.mBucket, amount, aLimits.mTokensPerSecond * aLimits.mEntryShare, aNow);
   if (wait) {
     return { admission_verdict::OverRate, *wait };
   }
@@ -31,7 +31,7 @@
 }
 
 void
-EndAdmission(organisation_use& aUse, tokens aTokens)
+ReleaseAdmittedTokens(organisation_usage& aUse, tokens aTokens)
 {
   aUse.mTokensInFlight =
     std::max(0.0, aUse.mTokensInFlight - static_cast<double>(aTokens));
--- a/Libraries/LibDecision/Admission.h
+++ b/Libraries/LibDecision/Admission.h
@@ -11,13 +11,13 @@
 namespace primrose {
 
 /// What an organisation uses at one entry.
-struct organisation_use
+struct organisation_usage
 {
   token_bucket mBucket;
   double mTokensInFlight = 0;
   demand_meter mDemand;
 
-  bool operator==(const organisation_use&) const = default;
+  bool operator==(const organisation_usage&) const = default;
 };
 
 /// The limits of an organisation over the whole fleet, and this entry's part.
@@ -25,7 +25,7 @@
 {
   double mTokensPerSecond = 0;
   double mConcurrentTokens = 0;
-  double mShare = 1;
+  double mEntryShare = 1;
 
   bool operator==(const organisation_limits&) const = default;
 };
@@ -47,13 +47,13 @@
 
 /// Decides and, where it admits, books the request's tokens.
 admission
-Admit(organisation_use& aUse,
+Admit(organisation_usage& aUse,
       const organisation_limits& aLimits,
       tokens aTokens,
       time_point aNow);
 
 /// The request is over: its tokens are no longer in flight.
 void
-EndAdmission(organisation_use& aUse, tokens aTokens);
+ReleaseAdmittedTokens(organisation_usage& aUse, tokens aTokens);
 
 } // namespace primrose
--- a/Libraries/LibDecision/AgentState.cpp
+++ b/Libraries/LibDecision/AgentState.cpp
@@ -11,28 +11,30 @@
 constexpr tokens kCacheDivisor = 2;
 
 bool
-IsReading(const held_work& aWork)
+HoldsPrefillWork(const reservation_state& aWork)
 {
-  return aWork.mStage == stage::Granted || aWork.mStage == stage::Reading;
+  return aWork.mStage == reservation_stage::Granted ||
+         aWork.mStage == reservation_stage::Reading;
 }
 
-std::vector<held_work*>
-ReadersInOrder(agent_board& aBoard)
+std::vector<reservation_state*>
+PrefillOrder(agent_state& aBoard)
 {
-  std::vector<held_work*> readers;
+  std::vector<reservation_state*> readers;
   for (auto& [attempt, work] : aBoard.mWork) {
-    if (work.mStage == stage::Reading && work.mUnread > 0) {
+    if (work.mStage == reservation_stage::Reading && work.mUnread > 0) {
       readers.push_back(&work);
     }
   }
-  std::sort(readers.begin(),
-            readers.end(),
-            [](const held_work* aLeft, const held_work* aRight) {
-              const work_shape& left = aLeft->mReservation.mShape;
-              const work_shape& right = aRight->mReservation.mShape;
-              return std::tuple(left.mLong, left.mPriority, aLeft->mOrder) <
-                     std::tuple(right.mLong, right.mPriority, aRight->mOrder);
-            });
+  std::sort(
+    readers.begin(),
+    readers.end(),
+    [](const reservation_state* aLeft, const reservation_state* aRight) {
+      const request_shape& left = aLeft->mReservation.mShape;
+      const request_shape& right = aRight->mReservation.mShape;
+      return std::tuple(left.mLong, left.mPriority, aLeft->mOrder) <
+             std::tuple(right.mLong, right.mPriority, aRight->mOrder);
+    });
   return readers;
 }
 
@@ -50,24 +52,24 @@
          aShape.mSecondsPerResidentToken * static_cast<double>(aResident);
 }
 
-agent_board
-MakeAgentBoard(const std::string& aModel,
+agent_state
+MakeAgentState(const std::string& aModel,
                const engine_shape& aShape,
                const agent_limits& aLimits,
                time_point aNow)
 {
-  agent_board board;
+  agent_state board;
   board.mModel = aModel;
   board.mShape = aShape;
   board.mLimits = aLimits;
   board.mCache = prefix_cache(aShape.mCapacity / kCacheDivisor);
   board.mStarted = aNow;
-  board.mAdvanced = aNow;
+  board.mPrefillAdvancedAt = aNow;
   return board;
 }
 
 std::size_t
-RunningCount(const agent_board& aBoard)
+RunningSequences(const agent_state& aBoard)
 {
   std::size_t running = 0;
   for (const auto& [attempt, work] : aBoard.mWork) {
@@ -78,41 +80,42 @@
 }
 
 tokens
-FreeTokens(const agent_board& aBoard)
+FreeTokens(const agent_state& aBoard)
 {
   return aBoard.mShape.mCapacity -
          std::min(aBoard.mUsed, aBoard.mShape.mCapacity);
 }
 
 double
-UnreadTokens(const agent_board& aBoard, bool aLongOnly)
+PrefillTokensLeft(const agent_state& aBoard, bool aLongOnly)
 {
   double unread = 0;
   for (const auto& [attempt, work] : aBoard.mWork) {
     const bool counts = !aLongOnly || work.mReservation.mShape.mLong;
-    unread += IsReading(work) && counts ? work.mUnread : 0;
+    unread += HoldsPrefillWork(work) && counts ? work.mUnread : 0;
   }
   return unread;
 }
 
 double
-ReadingRate(const agent_board& aBoard)
+PrefillRate(const agent_state& aBoard)
 {
   const engine_shape& shape = aBoard.mShape;
   const double step =
-    StepSeconds(shape, RunningCount(aBoard), shape.mChunk, aBoard.mUsed);
-  return static_cast<double>(shape.mChunk) / (step * aBoard.mSlowness);
+    StepSeconds(shape, RunningSequences(aBoard), shape.mChunk, aBoard.mUsed);
+  return static_cast<double>(shape.mChunk) / (step * aBoard.mPrefillSlowdown);
 }
 
 void
-AdvanceReading(agent_board& aBoard, time_point aNow)
+AdvancePrefill(agent_state& aBoard, time_point aNow)
 {
-  double budget = Seconds(aNow - aBoard.mAdvanced) * ReadingRate(aBoard);
-  aBoard.mAdvanced = aNow;
+  double budget =
+    Seconds(aNow - aBoard.mPrefillAdvancedAt) * PrefillRate(aBoard);
+  aBoard.mPrefillAdvancedAt = aNow;
   if (budget <= 0) {
     return;
   }
-  for (held_work* const work : ReadersInOrder(aBoard)) {
+  for (reservation_state* const work : PrefillOrder(aBoard)) {
     const double read = std::min(budget, work->mUnread);
     work->mUnread -= read;
     budget -= read;
--- a/Libraries/LibDecision/Claims.cpp
+++ b/Libraries/LibDecision/Claims.cpp
@@ -11,26 +11,26 @@
 /// How long an attempt that was given up is remembered, so that its key can be
 /// claimed again here. After that a repeat is told that the outcome is not
 /// known, which is less than we knew but not untrue.
-constexpr duration kRememberGivenUp = std::chrono::hours(1);
-constexpr duration kFirstStorePause = std::chrono::milliseconds(50);
+constexpr duration kAbandonedRetention = std::chrono::hours(1);
+constexpr duration kStoreBackoffBase = std::chrono::milliseconds(50);
 
 claim_row
-RowOf(const claim_board& aBoard, const claim& aClaim)
+ClaimRowFor(const claim_registry& aBoard, const claim& aClaim)
 {
   claim_row row;
   row.mAttempt = aClaim.mAttempt;
   row.mAgent = aBoard.mAgent;
   row.mRequestHash = aClaim.mRequestHash;
-  row.mEndsMs = aClaim.mEndsMs;
+  row.mExpiresAtMs = aClaim.mExpiresAtMs;
   return row;
 }
 
 void
-PauseClaim(claim& aClaim, time_point aNow, random_engine& aRandom)
+DelayClaim(claim& aClaim, time_point aNow, random_engine& aRandom)
 {
-  ++aClaim.mTries;
+  ++aClaim.mStoreFailures;
   aClaim.mNotBefore =
-    aNow + RetryPause(aClaim.mTries, kFirstStorePause, aRandom);
+    aNow + RetryBackoff(aClaim.mStoreFailures, kStoreBackoffBase, aRandom);
 }
 
 bool
@@ -40,33 +40,33 @@
 }
 
 void
-ForgetOldGivenUp(claim_board& aBoard, time_point aNow)
+PruneAbandonedAttempts(claim_registry& aBoard, time_point aNow)
 {
-  std::erase_if(aBoard.mGivenUp,
+  std::erase_if(aBoard.mAbandonedAttempts,
                 [&](const auto& aItem) { return aItem.second <= aNow; });
 }
 
 /// What a row that was read back means for the claim on its key.
 void
-SettleClaim(claim_board& aBoard,
-            claim& aClaim,
-            const claim_row* aRow,
-            time_point aNow)
+ResolveClaim(claim_registry& aBoard,
+             claim& aClaim,
+             const claim_row* aRow,
+             time_point aNow)
 {
   if (aRow == nullptr) {
     // Not there. Our transaction may still be on its way to the store, but
     // sending it again is harmless: whichever comes first carries our id.
-    aClaim.mStage = claim_stage::Wanted;
-    aClaim.mReplaces.clear();
+    aClaim.mStage = claim_stage::Queued;
+    aClaim.mReplacesAttempt.clear();
     return;
   }
   if (aRow->mAttempt == aClaim.mAttempt) {
     aClaim.mStage = claim_stage::Held;
     return;
   }
-  if (!aRow->mDone && aBoard.mGivenUp.contains(aRow->mAttempt)) {
-    aClaim.mStage = claim_stage::Wanted;
-    aClaim.mReplaces = aRow->mAttempt;
+  if (!aRow->mDone && aBoard.mAbandonedAttempts.contains(aRow->mAttempt)) {
+    aClaim.mStage = claim_stage::Queued;
+    aClaim.mReplacesAttempt = aRow->mAttempt;
     aClaim.mNotBefore = aNow;
     return;
   }
@@ -77,70 +77,71 @@
 } // namespace
 
 void
-WantClaim(claim_board& aBoard,
-          const std::string& aKey,
-          const std::string& aAttempt,
-          std::uint64_t aRequestHash,
-          time_point aDeadline,
-          time_point aNow,
-          wall_time aWall)
+QueueClaim(claim_registry& aBoard,
+           const std::string& aKey,
+           const std::string& aAttempt,
+           std::uint64_t aRequestHash,
+           time_point aDeadline,
+           time_point aNow,
+           wall_time aWall)
 {
   claim wanted;
   wanted.mKey = aKey;
   wanted.mAttempt = aAttempt;
   wanted.mRequestHash = aRequestHash;
   wanted.mDeadline = aDeadline;
-  wanted.mEndsMs =
+  wanted.mExpiresAtMs =
     aWall.time_since_epoch().count() + Milliseconds(aDeadline - aNow);
   wanted.mNotBefore = aNow;
   aBoard.mClaims.emplace(aAttempt, std::move(wanted));
 }
 
 std::vector<claim_write>
-TakeWrites(claim_board& aBoard, time_point aNow)
+TakeWrites(claim_registry& aBoard, time_point aNow)
 {
   std::vector<claim_write> writes;
   if (aBoard.mWriteInFlight || aNow < aBoard.mNextWrite) {
     return writes;
   }
-  ForgetOldGivenUp(aBoard, aNow);
+  PruneAbandonedAttempts(aBoard, aNow);
   // One transaction may not name a key twice; of two claims on one key the
   // second waits and then meets the first one's row.
   std::map<std::string, bool> named;
   for (const claim_write& result : aBoard.mResults) {
-    if (writes.size() < kMostRowsAtOnce &&
+    if (writes.size() < kMaxRowsPerTransaction &&
         named.emplace(result.mKey, true).second) {
       writes.push_back(result);
     }
   }
   aBoard.mResultsInFlight = writes;
   for (auto& [attempt, claim] : aBoard.mClaims) {
-    if (writes.size() >= kMostRowsAtOnce) {
+    if (writes.size() >= kMaxRowsPerTransaction) {
       break;
     }
-    if (IsDue(claim, claim_stage::Wanted, aNow) &&
+    if (IsDue(claim, claim_stage::Queued, aNow) &&
         named.emplace(claim.mKey, true).second) {
       claim.mStage = claim_stage::Sent;
-      writes.push_back({ claim.mKey, RowOf(aBoard, claim), claim.mReplaces });
+      writes.push_back(
+        { claim.mKey, ClaimRowFor(aBoard, claim), claim.mReplacesAttempt });
     }
   }
   if (!writes.empty()) {
     aBoard.mWriteInFlight = true;
-    aBoard.mNextWrite = aNow + kWriteInterval;
+    aBoard.mNextWrite = aNow + kMinWriteInterval;
   }
   return writes;
 }
 
 std::vector<std::string>
-TakeReads(claim_board& aBoard, time_point aNow)
+TakeReads(claim_registry& aBoard, time_point aNow)
 {
   std::vector<std::string> keys;
   if (aBoard.mReadInFlight) {
     return keys;
   }
   for (auto& [attempt, claim] : aBoard.mClaims) {
-    if (keys.size() < kMostRowsAtOnce &&
-        IsDue(claim, claim_stage::Unsure, aNow)) {
+    if (keys.size() < kMaxRowsPerTransaction &&
+        IsDue(claim, claim_stage::WriteOutcomeUnknown, aNow)) {
       claim.mStage = claim_stage::Reading;
       keys.push_back(claim.mKey);
     }
@@ -154,9 +155,9 @@
 namespace {
 
 void
-SettleResults(claim_board& aBoard,
-              write_outcome aOutcome,
-              const std::vector<std::string>& aConflicts)
+ResolveResults(claim_registry& aBoard,
+               write_outcome aOutcome,
+               const std::vector<std::string>& aConflicts)
 {
   for (const claim_write& sent : aBoard.mResultsInFlight) {
     const bool inTheWay =
@@ -177,14 +178,14 @@
 } // namespace
 
 void
-NoteWritten(claim_board& aBoard,
-            write_outcome aOutcome,
-            const std::vector<std::string>& aConflicts,
-            time_point aNow,
-            random_engine& aRandom)
+RecordWriteOutcome(claim_registry& aBoard,
+                   write_outcome aOutcome,
+                   const std::vector<std::string>& aConflicts,
+                   time_point aNow,
+                   random_engine& aRandom)
 {
   aBoard.mWriteInFlight = false;
-  SettleResults(aBoard, aOutcome, aConflicts);
+  ResolveResults(aBoard, aOutcome, aConflicts);
   for (auto& [attempt, claim] : aBoard.mClaims) {
     if (claim.mStage != claim_stage::Sent) {
       continue;
@@ -197,25 +198,26 @@
       std::find(aConflicts.begin(), aConflicts.end(), claim.mKey) !=
       aConflicts.end();
     if (aOutcome == write_outcome::Conflict && !inTheWay) {
-      claim.mStage = claim_stage::Wanted;
+      claim.mStage = claim_stage::Queued;
       continue;
     }
-    claim.mStage = claim_stage::Unsure;
+    claim.mStage = claim_stage::WriteOutcomeUnknown;
     if (aOutcome == write_outcome::Lost) {
-      PauseClaim(claim, aNow, aRandom);
+      DelayClaim(claim, aNow, aRandom);
     }
   }
   if (aOutcome == write_outcome::Lost) {
     aBoard.mNextWrite =
-      aNow + std::max(kWriteInterval, RetryPause(2, kFirstStorePause, aRandom));
+      aNow +
+      std::max(kMinWriteInterval, RetryBackoff(2, kStoreBackoffBase, aRandom));
   }
 }
 
 void
-NoteRead(claim_board& aBoard,
-         const std::optional<std::map<std::string, claim_row>>& aRows,
-         time_point aNow,
-         random_engine& aRandom)
+RecordReadBack(claim_registry& aBoard,
+               const std::optional<std::map<std::string, claim_row>>& aRows,
+               time_point aNow,
+               random_engine& aRandom)
 {
   aBoard.mReadInFlight = false;
   for (auto& [attempt, claim] : aBoard.mClaims) {
@@ -223,18 +225,20 @@
       continue;
     }
     if (!aRows) {
-      claim.mStage = claim_stage::Unsure;
-      PauseClaim(claim, aNow, aRandom);
+      claim.mStage = claim_stage::WriteOutcomeUnknown;
+      DelayClaim(claim, aNow, aRandom);
       continue;
     }
     const auto row = aRows->find(claim.mKey);
-    SettleClaim(
+    ResolveClaim(
       aBoard, claim, row == aRows->end() ? nullptr : &row->second, aNow);
   }
 }
 
 bool
-BeginRun(claim_board& aBoard, const std::string& aAttempt, time_point aNow)
+BeginExecution(claim_registry& aBoard,
+               const std::string& aAttempt,
+               time_point aNow)
 {
   const auto found = aBoard.mClaims.find(aAttempt);
   if (found == aBoard.mClaims.end() ||
@@ -247,13 +251,15 @@
 }
 
 void
-NoteRun(claim_board& aBoard, const std::string& aAttempt, claim_row aOutcome)
+RecordExecution(claim_registry& aBoard,
+                const std::string& aAttempt,
+                claim_row aOutcome)
 {
   const auto found = aBoard.mClaims.find(aAttempt);
   if (found == aBoard.mClaims.end()) {
     return;
   }
-  claim_row row = RowOf(aBoard, found->second);
+  claim_row row = ClaimRowFor(aBoard, found->second);
   row.mDone = true;
   row.mStatus = aOutcome.mStatus;
   row.mContentType = std::move(aOutcome.mContentType);
@@ -263,45 +269,47 @@
 }
 
 bool
-GiveUp(claim_board& aBoard, const std::string& aAttempt, time_point aNow)
+GiveUp(claim_registry& aBoard, const std::string& aAttempt, time_point aNow)
 {
   const auto found = aBoard.mClaims.find(aAttempt);
   if (found == aBoard.mClaims.end()) {
-    return aBoard.mGivenUp.contains(aAttempt);
+    return aBoard.mAbandonedAttempts.contains(aAttempt);
   }
   if (found->second.mStage == claim_stage::Running) {
     return false;
   }
-  aBoard.mGivenUp.insert_or_assign(aAttempt, aNow + kRememberGivenUp);
+  aBoard.mAbandonedAttempts.insert_or_assign(aAttempt,
+                                             aNow + kAbandonedRetention);
   aBoard.mClaims.erase(found);
   return true;
 }
 
 const claim*
-FindClaim(const claim_board& aBoard, const std::string& aAttempt)
+FindClaim(const claim_registry& aBoard, const std::string& aAttempt)
 {
   const auto found = aBoard.mClaims.find(aAttempt);
   return found == aBoard.mClaims.end() ? nullptr : &found->second;
 }
 
 void
-ForgetClaim(claim_board& aBoard, const std::string& aAttempt)
+DropClaim(claim_registry& aBoard, const std::string& aAttempt)
 {
   aBoard.mClaims.erase(aAttempt);
 }
 
 std::optional<time_point>
-NextStoreWork(const claim_board& aBoard)
+NextStoreRequestTime(const claim_registry& aBoard)
 {
   std::optional<time_point> next;
   const auto consider = [&next](time_point aTime) {
     next = next ? std::min(*next, aTime) : aTime;
   };
   for (const auto& [attempt, claim] : aBoard.mClaims) {
-    if (claim.mStage == claim_stage::Wanted && !aBoard.mWriteInFlight) {
+    if (claim.mStage == claim_stage::Queued && !aBoard.mWriteInFlight) {
       consider(std::max(claim.mNotBefore, aBoard.mNextWrite));
     }
-    if (claim.mStage == claim_stage::Unsure && !aBoard.mReadInFlight) {
+    if (claim.mStage == claim_stage::WriteOutcomeUnknown &&
+        !aBoard.mReadInFlight) {
       consider(claim.mNotBefore);
     }
   }
--- a/Libraries/LibDecision/DecisionLog.cpp
+++ b/Libraries/LibDecision/DecisionLog.cpp
@@ -20,7 +20,7 @@
   if (known != mRecords.end()) {
     // The newest takes the last place: how a request ended matters more than
     // its fortieth delay.
-    if (known->second.size() >= kMostRecords) {
+    if (known->second.size() >= kMaxRecordsPerRequest) {
       known->second.pop_back();
     }
     known->second.push_back(std::move(aRecord));
--- a/Libraries/LibDecision/DecisionLog.h
+++ b/Libraries/LibDecision/DecisionLog.h
@@ -62,7 +62,7 @@
 {
 public:
   static constexpr std::size_t kDefaultRequests = 4096;
-  static constexpr std::size_t kMostRecords = 32; ///< For one request.
+  static constexpr std::size_t kMaxRecordsPerRequest = 32; ///< For one request.
 
   explicit decision_log(std::size_t aRequests = kDefaultRequests)
     : mRequests(aRequests)
--- a/Libraries/LibDecision/Directory.cpp
+++ b/Libraries/LibDecision/Directory.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-constexpr duration kFirstAvoidance = std::chrono::milliseconds(250);
-constexpr duration kLongestAvoidance = std::chrono::seconds(8);
+constexpr duration kAvoidanceBase = std::chrono::milliseconds(250);
+constexpr duration kMaxAvoidance = std::chrono::seconds(8);
 /// One lost answer does not count: a slow peer must not be taken for a dead
 /// one. From the second failure in a row the endpoint is avoided.
-constexpr unsigned kForgivenFailures = 1;
+constexpr unsigned kToleratedFailures = 1;
 
 constexpr std::array<std::string_view, 3> kKindNames = { "engine",
                                                          "service",
                                                          "entry" };
 
 bool
-MayGetWork(const endpoint_view& aView, const std::string& aServes)
+IsEligible(const endpoint_view& aView, const std::string& aServes)
 {
   return aView.mListed.mKind != vm_kind::Entry &&
          aView.mListed.mServes == aServes && !aView.mListed.mLeaving &&
-         !aView.mSaidLeaving;
+         !aView.mReportedLeaving;
 }
 
 } // namespace
@@ -34,7 +34,7 @@
 }
 
 std::optional<vm_kind>
-VmKindNamed(std::string_view aName)
+ParseVmKind(std::string_view aName)
 {
   const auto name = std::find(kKindNames.begin(), kKindNames.end(), aName);
   if (name == kKindNames.end()) {
@@ -69,25 +69,25 @@
     }
   }
   aDirectory.mEndpoints = std::move(next);
-  aDirectory.mListSeen = aNow;
+  aDirectory.mListReceivedAt = aNow;
   aDirectory.mHasList = true;
   return change;
 }
 
 void
-NoteLeaving(endpoint_directory& aDirectory, const std::string& aName)
+MarkLeaving(endpoint_directory& aDirectory, const std::string& aName)
 {
   const auto endpoint = aDirectory.mEndpoints.find(aName);
   if (endpoint != aDirectory.mEndpoints.end()) {
-    endpoint->second.mSaidLeaving = true;
+    endpoint->second.mReportedLeaving = true;
   }
 }
 
 void
-NoteFailure(endpoint_directory& aDirectory,
-            const std::string& aName,
-            time_point aNow,
-            random_engine& aRandom)
+RecordFailure(endpoint_directory& aDirectory,
+              const std::string& aName,
+              time_point aNow,
+              random_engine& aRandom)
 {
   const auto endpoint = aDirectory.mEndpoints.find(aName);
   if (endpoint == aDirectory.mEndpoints.end()) {
@@ -95,21 +95,21 @@
   }
   endpoint_view& view = endpoint->second;
   ++view.mFailures;
-  if (view.mFailures <= kForgivenFailures) {
+  if (view.mFailures <= kToleratedFailures) {
     return;
   }
   constexpr unsigned kMostDoublings = 6;
   const unsigned doublings =
-    std::min(view.mFailures - kForgivenFailures - 1, kMostDoublings);
+    std::min(view.mFailures - kToleratedFailures - 1, kMostDoublings);
   const duration longest =
-    std::min(kFirstAvoidance * (1U << doublings), kLongestAvoidance);
+    std::min(kAvoidanceBase * (1U << doublings), kMaxAvoidance);
   // Between half and all of it, so that entries do not come back as one.
   const double part = 0.5 + 0.5 * Uniform(aRandom);
   view.mAvoidUntil = aNow + FromSeconds(Seconds(longest) * part);
 }
 
 void
-NoteSuccess(endpoint_directory& aDirectory, const std::string& aName)
+RecordSuccess(endpoint_directory& aDirectory, const std::string& aName)
 {
   const auto endpoint = aDirectory.mEndpoints.find(aName);
   if (endpoint != aDirectory.mEndpoints.end()) {
@@ -126,7 +126,7 @@
   std::vector<const endpoint_view*> usable;
   std::vector<const endpoint_view*> avoided;
   for (const auto& [name, view] : aDirectory.mEndpoints) {
-    if (!MayGetWork(view, aServes)) {
+    if (!IsEligible(view, aServes)) {
       continue;
     }
     (aNow < view.mAvoidUntil ? avoided : usable).push_back(&view);
--- a/Libraries/LibDecision/Directory.h
+++ b/Libraries/LibDecision/Directory.h
@@ -23,7 +23,7 @@
 std::string_view
 VmKindName(vm_kind aKind);
 std::optional<vm_kind>
-VmKindNamed(std::string_view aName);
+ParseVmKind(std::string_view aName);
 
 /// One row of the platform's list of VMs.
 struct listed_endpoint
@@ -42,7 +42,7 @@
 struct endpoint_view
 {
   listed_endpoint mListed;
-  bool mSaidLeaving = false;
+  bool mReportedLeaving = false;
   unsigned mFailures = 0;   ///< In a row.
   time_point mAvoidUntil{}; ///< Not asked before then.
   std::uint64_t mOrder = 0; ///< Place in the order all entries agree on.
@@ -53,7 +53,7 @@
 struct endpoint_directory
 {
   std::map<std::string, endpoint_view> mEndpoints; ///< By name.
-  time_point mListSeen{};
+  time_point mListReceivedAt{};
   bool mHasList = false;
 };
 
@@ -75,16 +75,16 @@
           time_point aNow);
 
 void
-NoteLeaving(endpoint_directory& aDirectory, const std::string& aName);
+MarkLeaving(endpoint_directory& aDirectory, const std::string& aName);
 /// The endpoint did not answer or failed: it is left alone for a while that
 /// doubles with each failure in a row, with jitter.
 void
-NoteFailure(endpoint_directory& aDirectory,
-            const std::string& aName,
-            time_point aNow,
-            random_engine& aRandom);
+RecordFailure(endpoint_directory& aDirectory,
+              const std::string& aName,
+              time_point aNow,
+              random_engine& aRandom);
 void
-NoteSuccess(endpoint_directory& aDirectory, const std::string& aName);
+RecordSuccess(endpoint_directory& aDirectory, const std::string& aName);
 
 /// The endpoints that may get new work for this model or service, in the order
 /// that all entries agree on. If all are being avoided, those are given: a
--- a/Libraries/LibDecision/Limits.cpp
+++ b/Libraries/LibDecision/Limits.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Time constant of the demand average, in seconds.
-constexpr double kDemandMemory = 5;
+constexpr double kDemandTimeConstant = 5;
 /// Part of a limit that is dealt out evenly, whatever the demand.
-constexpr double kEvenPart = 0.1;
+constexpr double kEvenShare = 0.1;
 
 } // namespace
 
@@ -24,11 +24,11 @@
   if (!aBucket.mStarted) {
     aBucket.mStarted = true;
     aBucket.mLevel = burst;
-    aBucket.mFilled = aNow;
+    aBucket.mRefilledAt = aNow;
   }
-  const double gained = aRatePerSecond * Seconds(aNow - aBucket.mFilled);
+  const double gained = aRatePerSecond * Seconds(aNow - aBucket.mRefilledAt);
   aBucket.mLevel = std::min(burst, aBucket.mLevel + gained);
-  aBucket.mFilled = aNow;
+  aBucket.mRefilledAt = aNow;
   if (aBucket.mLevel <= 0) {
     constexpr double kShortest = 0.001;
     return std::max(kShortest, -aBucket.mLevel / aRatePerSecond);
@@ -46,13 +46,13 @@
   if (all <= 0) {
     return even;
   }
-  return kEvenPart * even + (1 - kEvenPart) * aOwnDemand / all;
+  return kEvenShare * even + (1 - kEvenShare) * aOwnDemand / all;
 }
 
 void
-NoteDemand(demand_meter& aMeter, double aAmount, time_point aNow)
+RecordDemand(demand_meter& aMeter, double aAmount, time_point aNow)
 {
-  aMeter.mRate = DemandAt(aMeter, aNow) + aAmount / kDemandMemory;
+  aMeter.mRate = DemandAt(aMeter, aNow) + aAmount / kDemandTimeConstant;
   aMeter.mSeen = aNow;
 }
 
@@ -60,7 +60,7 @@
 DemandAt(const demand_meter& aMeter, time_point aNow)
 {
   const double age = Seconds(aNow - aMeter.mSeen);
-  return aMeter.mRate * std::exp(-age / kDemandMemory);
+  return aMeter.mRate * std::exp(-age / kDemandTimeConstant);
 }
 
 } // namespace primrose
--- a/Libraries/LibDecision/Limits.h
+++ b/Libraries/LibDecision/Limits.h
@@ -16,7 +16,7 @@
 struct token_bucket
 {
   double mLevel = 0;
-  time_point mFilled{};
+  time_point mRefilledAt{};
   bool mStarted = false;
 
   bool operator==(const token_bucket&) const = default;
@@ -49,7 +49,7 @@
 };
 
 void
-NoteDemand(demand_meter& aMeter, double aAmount, time_point aNow);
+RecordDemand(demand_meter& aMeter, double aAmount, time_point aNow);
 double
 DemandAt(const demand_meter& aMeter, time_point aNow);
 
--- a/Libraries/LibDecision/Placement.h
+++ b/Libraries/LibDecision/Placement.h
@@ -24,35 +24,35 @@
   unsigned mLongSpread = 1;
   /// Long prompts are cut into parts of at most this size. An engine with a
   /// whole large prompt has no memory left to read the next while it writes.
-  tokens mLongPart = 128000;
+  tokens mMaxLongPartTokens = 128000;
   /// Most parts that a long prompt is cut into, unless memory needs more.
   std::size_t mMostParts = 8;
   /// Long prompts move on to one more engine when they would wait longer than
   /// this part of their own reading time; 0: they are not packed at all.
-  double mFrontSlack = 0.25;
-  bool mUseCache = true;
+  double mLongPoolSlack = 0.25;
+  bool mUsePrefixAffinity = true;
 
   bool operator==(const placement_rules&) const = default;
 };
 
 /// What an entry remembers of a model's fleet from the answers it got.
-struct placement_memory
+struct placement_state
 {
   /// Engines, from the start of the order, thought to read long prompts.
-  double mLongFront = 0;
+  double mLongPoolSize = 0;
 
-  bool operator==(const placement_memory&) const = default;
+  bool operator==(const placement_state&) const = default;
 };
 
 /// Indices into the usable endpoints of those to ask, best guesses first.
 /// `aNames` are in the shared order; `aGroup` engines are needed.
 std::vector<std::size_t>
-ChooseToProbe(const std::vector<std::string>& aNames,
-              const work_shape& aShape,
-              const placement_rules& aRules,
-              const placement_memory& aMemory,
-              std::size_t aGroup,
-              random_engine& aRandom);
+ChooseProbeTargets(const std::vector<std::string>& aNames,
+                   const request_shape& aShape,
+                   const placement_rules& aRules,
+                   const placement_state& aMemory,
+                   std::size_t aGroup,
+                   random_engine& aRandom);
 
 /// An endpoint that answered.
 struct candidate
@@ -75,38 +75,38 @@
 /// that are left and long ones wait for each other (measured, see
 /// docs/MEASUREMENTS.md), so all share all.
 bool
-PacksLong(const placement_rules& aRules,
-          const placement_memory& aMemory,
-          std::size_t aEndpoints);
+PacksLongPrompts(const placement_rules& aRules,
+                 const placement_state& aMemory,
+                 std::size_t aEndpoints);
 
 /// The candidates that can take the work, best first.
 std::vector<scored_candidate>
 RankCandidates(const std::vector<candidate>& aCandidates,
-               const work_shape& aShape,
+               const request_shape& aShape,
                const placement_rules& aRules,
                const engine_shape& aEngine,
                bool aPacks);
 
 /// Learns from the answers to the probes of one request for `aGroup` engines.
 void
-LearnFront(placement_memory& aMemory,
-           const std::vector<candidate>& aCandidates,
-           const work_shape& aShape,
-           const placement_rules& aRules,
-           const engine_shape& aEngine,
-           std::size_t aGroup,
-           std::size_t aEndpoints);
+UpdateLongPoolSize(placement_state& aMemory,
+                   const std::vector<candidate>& aCandidates,
+                   const request_shape& aShape,
+                   const placement_rules& aRules,
+                   const engine_shape& aEngine,
+                   std::size_t aGroup,
+                   std::size_t aEndpoints);
 
 /// How many engines a prompt is spread over: as many as its memory needs, and
 /// for a long one up to `mLongSpread`, so that it is read sooner.
 std::size_t
-GroupSize(const work_shape& aShape,
+GroupSize(const request_shape& aShape,
           const placement_rules& aRules,
           tokens aEngineCapacity);
 
 /// The part of a group's prompt that one member holds (rounded up); the lead
 /// also holds the answer's tokens.
-work_shape
-MemberShape(const work_shape& aShape, std::size_t aMembers, hold_role aRole);
+request_shape
+MemberShape(const request_shape& aShape, std::size_t aMembers, hold_role aRole);
 
 } // namespace primrose
--- a/Libraries/LibDecision/PrefixCache.cpp
+++ b/Libraries/LibDecision/PrefixCache.cpp
@@ -10,7 +10,7 @@
     if (!mIndex.contains(aMarks[i])) {
       break;
     }
-    held = MarkLength(i);
+    held = PrefixLength(i);
   }
   return held;
 }
@@ -26,8 +26,8 @@
       mOrder.splice(mOrder.begin(), mOrder, known->second);
       continue;
     }
-    const tokens shorter = i == 0 ? 0 : MarkLength(i - 1);
-    mOrder.push_front({ aMarks[i], MarkLength(i) - shorter });
+    const tokens shorter = i == 0 ? 0 : PrefixLength(i - 1);
+    mOrder.push_front({ aMarks[i], PrefixLength(i) - shorter });
     mIndex.emplace(aMarks[i], mOrder.begin());
     mUsed += mOrder.front().mTokens;
   }
@@ -65,7 +65,7 @@
 prefix_cache::Evict()
 {
   while (mUsed > mCapacity && !mOrder.empty()) {
-    Erase(mOrder.back().mMark);
+    Erase(mOrder.back().mPrefixHash);
   }
 }
 
--- a/Libraries/LibDecision/PrefixCache.h
+++ b/Libraries/LibDecision/PrefixCache.h
@@ -11,12 +11,12 @@
 
 namespace primrose {
 
-struct prefix_entry
+struct cached_prefix
 {
-  std::uint64_t mMark = 0;
+  std::uint64_t mPrefixHash = 0;
   tokens mTokens = 0; ///< Those that the shorter marks do not hold already.
 
-  bool operator==(const prefix_entry&) const = default;
+  bool operator==(const cached_prefix&) const = default;
 };
 
 class prefix_cache
@@ -43,8 +43,8 @@
 
   tokens mCapacity;
   tokens mUsed = 0;
-  std::list<prefix_entry> mOrder; ///< Most recently used first.
-  std::unordered_map<std::uint64_t, std::list<prefix_entry>::iterator> mIndex;
+  std::list<cached_prefix> mOrder; ///< Most recently used first.
+  std::unordered_map<std::uint64_t, std::list<cached_prefix>::iterator> mIndex;
 };
 
 } // namespace primrose
--- a/Libraries/LibDecision/RequestShape.cpp
+++ b/Libraries/LibDecision/RequestShape.cpp
@@ -28,18 +28,18 @@
 }
 
 tokens
-MarkLength(std::size_t aIndex)
+PrefixLength(std::size_t aIndex)
 {
-  return kFirstMarkTokens << aIndex;
+  return kMinPrefixTokens << aIndex;
 }
 
 std::vector<std::uint64_t>
-PromptMarks(std::string_view aPrompt)
+PrefixHashes(std::string_view aPrompt)
 {
   std::vector<std::uint64_t> marks;
   std::uint64_t chain = 0;
   std::size_t done = 0;
-  for (std::size_t end = kFirstMarkTokens * kBytesPerToken;
+  for (std::size_t end = kMinPrefixTokens * kBytesPerToken;
        end <= aPrompt.size();
        end *= 2) {
     // Chained: each text is hashed once, and equal marks mean equal prefixes.
--- a/Libraries/LibDecision/RequestShape.h
+++ b/Libraries/LibDecision/RequestShape.h
@@ -38,18 +38,18 @@
   Member,
 };
 
-struct work_shape
+struct request_shape
 {
   std::string mModel;
   std::string mOrganisation;
   tokens mPromptTokens = 0; ///< For a group's part: of this part.
   tokens mMaxTokens = 0;
-  std::vector<std::uint64_t> mMarks; ///< See `PromptMarks`.
-  unsigned mPriority = 1;            ///< 0 is served first.
+  std::vector<std::uint64_t> mPrefixHashes; ///< See `PrefixHashes`.
+  unsigned mPriority = 1;                   ///< 0 is served first.
   bool mLong = false;
 
-  bool operator==(const work_shape&) const = default;
-  tokens Need() const { return mPromptTokens + mMaxTokens; }
+  bool operator==(const request_shape&) const = default;
+  tokens MemoryTokens() const { return mPromptTokens + mMaxTokens; }
 };
 
 /// An estimate of a text's tokens. NOTE: engines count exactly; this is for
@@ -59,15 +59,15 @@
 
 /// The shortest prefix that is worth knowing of, in tokens; each further mark
 /// stands for a prefix twice as long.
-inline constexpr tokens kFirstMarkTokens = 1024;
+inline constexpr tokens kMinPrefixTokens = 1024;
 
 /// Hashes of the prompt's prefixes of 1024, 2048, 4096… tokens. A million
 /// tokens give ten marks, so that a probe can carry them all.
 std::vector<std::uint64_t>
-PromptMarks(std::string_view aPrompt);
+PrefixHashes(std::string_view aPrompt);
 
 /// The length in tokens of the prefix that the mark at this index stands for.
 tokens
-MarkLength(std::size_t aIndex);
+PrefixLength(std::size_t aIndex);
 
 } // namespace primrose
--- a/Libraries/LibDecision/Retry.cpp
+++ b/Libraries/LibDecision/Retry.cpp
@@ -7,7 +7,7 @@
 void
 EarnRetry(retry_budget& aBudget, double aPerRequest)
 {
-  aBudget.mLevel = std::min(kMostSavedRetries, aBudget.mLevel + aPerRequest);
+  aBudget.mLevel = std::min(kMaxSavedRetries, aBudget.mLevel + aPerRequest);
 }
 
 bool
@@ -21,7 +21,7 @@
 }
 
 duration
-RetryPause(unsigned aAttempt, duration aFirst, random_engine& aRandom)
+RetryBackoff(unsigned aAttempt, duration aFirst, random_engine& aRandom)
 {
   constexpr unsigned kMostDoublings = 8;
   constexpr duration kLongest = std::chrono::seconds(10);
--- a/Libraries/LibDecision/Retry.h
+++ b/Libraries/LibDecision/Retry.h
@@ -16,7 +16,7 @@
 
 /// Retries that may be saved up; enough for one endpoint's sudden death, too
 /// few to double the load of a fleet that is failing.
-inline constexpr double kMostSavedRetries = 20;
+inline constexpr double kMaxSavedRetries = 20;
 
 /// An admitted request earns a part of a retry.
 void
@@ -28,6 +28,6 @@
 /// The pause before attempt number `aAttempt` (the first retry is 1): uniform
 /// between nothing and the first pause doubled for each attempt.
 duration
-RetryPause(unsigned aAttempt, duration aFirst, random_engine& aRandom);
+RetryBackoff(unsigned aAttempt, duration aFirst, random_engine& aRandom);
 
 } // namespace primrose
--- a/Libraries/LibDecision/StreamCursor.cpp
+++ b/Libraries/LibDecision/StreamCursor.cpp
@@ -18,9 +18,9 @@
 }
 
 bool
-IsWhole(const stream_cursor& aCursor,
-        const std::string& aAttempt,
-        std::uint64_t aChunks)
+IsCompleteAnswer(const stream_cursor& aCursor,
+                 const std::string& aAttempt,
+                 std::uint64_t aChunks)
 {
   return aAttempt == aCursor.mAttempt && aChunks == aCursor.mNext;
 }
--- a/Libraries/LibDecision/StreamCursor.h
+++ b/Libraries/LibDecision/StreamCursor.h
@@ -32,8 +32,8 @@
 
 /// True if an ending that counts so many chunks ends the whole answer.
 bool
-IsWhole(const stream_cursor& aCursor,
-        const std::string& aAttempt,
-        std::uint64_t aChunks);
+IsCompleteAnswer(const stream_cursor& aCursor,
+                 const std::string& aAttempt,
+                 std::uint64_t aChunks);
 
 } // namespace primrose
--- a/Libraries/LibModel/EngineModel.cpp
+++ b/Libraries/LibModel/EngineModel.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::vector<job_state*>
-JobsInOrder(engine_model& aEngine, job_stage aStage)
+JobsByPriority(engine_model& aEngine, job_stage aStage)
 {
   std::vector<job_state*> jobs;
   for (auto& [id, job] : aEngine.mJobs) {
@@ -29,8 +29,9 @@
 {
   return static_cast<std::size_t>(std::count_if(
     aEngine.mJobs.begin(), aEngine.mJobs.end(), [](const auto& aItem) {
-      const job_stage stage = aItem.second.mStage;
-      return stage == job_stage::Reading || stage == job_stage::Writing;
+      const job_stage reservation_stage = aItem.second.mStage;
+      return reservation_stage == job_stage::Reading ||
+             reservation_stage == job_stage::Writing;
     }));
 }
 
@@ -51,10 +52,10 @@
     return;
   }
   const tokens cached =
-    std::min(aEngine.mCache.Held(job.mMarks), job.mPromptTokens);
+    std::min(aEngine.mCache.Held(job.mPrefixHashes), job.mPromptTokens);
   // At least one token is read: the first answer token needs its result.
   const double unread = static_cast<double>(job.mPromptTokens - cached);
-  aJob.mUnread = std::max(1.0, unread * job.mReadingPart);
+  aJob.mUnread = std::max(1.0, unread * job.mPrefillPart);
   aJob.mStage = job_stage::Reading;
   ShrinkCacheToFree(aEngine);
 }
@@ -63,7 +64,7 @@
 AdmitWaiting(engine_model& aEngine)
 {
   std::size_t batch = BatchSize(aEngine);
-  for (job_state* const job : JobsInOrder(aEngine, job_stage::Waiting)) {
+  for (job_state* const job : JobsByPriority(aEngine, job_stage::Waiting)) {
     const bool fits =
       aEngine.mUsed + job->mJob.mReserveTokens <= aEngine.mShape.mCapacity;
     const bool hasPlace =
@@ -82,32 +83,33 @@
 BeginStep(engine_model& aEngine, time_point aNow)
 {
   AdmitWaiting(aEngine);
-  aEngine.mStepReads.clear();
-  aEngine.mStepWrites.clear();
+  aEngine.mStepPrefills.clear();
+  aEngine.mStepDecodes.clear();
   double budget = static_cast<double>(aEngine.mShape.mChunk);
-  for (const job_state* const job : JobsInOrder(aEngine, job_stage::Reading)) {
+  for (const job_state* const job :
+       JobsByPriority(aEngine, job_stage::Reading)) {
     const double part = std::min(budget, job->mUnread);
     if (part <= 0) {
       break;
     }
-    aEngine.mStepReads.emplace(job->mJob.mId, part);
+    aEngine.mStepPrefills.emplace(job->mJob.mId, part);
     budget -= part;
   }
   for (const auto& [id, job] : aEngine.mJobs) {
     if (job.mStage == job_stage::Writing) {
-      aEngine.mStepWrites.push_back(id);
+      aEngine.mStepDecodes.push_back(id);
     }
   }
-  if (aEngine.mStepReads.empty() && aEngine.mStepWrites.empty()) {
+  if (aEngine.mStepPrefills.empty() && aEngine.mStepDecodes.empty()) {
     aEngine.mStepEnds.reset();
     return;
   }
   const double read = static_cast<double>(aEngine.mShape.mChunk) - budget;
   const double seconds =
-    aEngine.mSlowFactor * StepSeconds(aEngine.mShape,
-                                      aEngine.mStepWrites.size(),
-                                      static_cast<tokens>(read),
-                                      aEngine.mUsed);
+    aEngine.mStepTimeFactor * StepSeconds(aEngine.mShape,
+                                          aEngine.mStepDecodes.size(),
+                                          static_cast<tokens>(read),
+                                          aEngine.mUsed);
   aEngine.mBusySeconds += seconds;
   aEngine.mStepEnds = aNow + FromSeconds(seconds);
 }
@@ -120,13 +122,13 @@
   aEngine.mUsed -= job.mReserveTokens;
   aEngine.mJobs.erase(found);
   ShrinkCacheToFree(aEngine);
-  aEngine.mCache.Insert(job.mMarks);
+  aEngine.mCache.Insert(job.mPrefixHashes);
 }
 
 void
-WriteToken(engine_model& aEngine,
-           const std::string& aId,
-           std::vector<engine_output>& aOutputs)
+EmitToken(engine_model& aEngine,
+          const std::string& aId,
+          std::vector<engine_output>& aOutputs)
 {
   const auto found = aEngine.mJobs.find(aId);
   if (found == aEngine.mJobs.end()) {
@@ -136,17 +138,17 @@
   const bool last = job.mWritten + 1 >= job.mJob.mOutputTokens;
   aOutputs.push_back({ aId, job.mWritten, last, false });
   ++job.mWritten;
-  ++aEngine.mTokensWritten;
+  ++aEngine.mDecodedTokens;
   if (last) {
     Finish(aEngine, aId);
   }
 }
 
 void
-ReadPart(engine_model& aEngine,
-         const std::string& aId,
-         double aPart,
-         std::vector<engine_output>& aOutputs)
+PrefillPart(engine_model& aEngine,
+            const std::string& aId,
+            double aPart,
+            std::vector<engine_output>& aOutputs)
 {
   const auto found = aEngine.mJobs.find(aId);
   if (found == aEngine.mJobs.end()) {
@@ -154,7 +156,7 @@
   }
   job_state& job = found->second;
   job.mUnread -= aPart;
-  aEngine.mTokensRead += aPart;
+  aEngine.mPrefilledTokens += aPart;
   constexpr double kRounding = 1e-6;
   if (job.mUnread > kRounding) {
     return;
@@ -165,7 +167,7 @@
     return;
   }
   job.mStage = job_stage::Writing;
-  WriteToken(aEngine, aId, aOutputs);
+  EmitToken(aEngine, aId, aOutputs);
 }
 
 } // namespace
@@ -188,7 +190,7 @@
   }
   job_state state;
   state.mJob = aJob;
-  state.mOrder = aEngine.mNextOrder++;
+  state.mOrder = aEngine.mNextArrivalOrder++;
   aEngine.mJobs.emplace(aJob.mId, std::move(state));
   if (!aEngine.mStepEnds) {
     BeginStep(aEngine, aNow);
@@ -212,7 +214,7 @@
 }
 
 bool
-BeginWriting(engine_model& aEngine, const std::string& aId, time_point aNow)
+BeginDecoding(engine_model& aEngine, const std::string& aId, time_point aNow)
 {
   const auto found = aEngine.mJobs.find(aId);
   if (found == aEngine.mJobs.end() ||
@@ -235,24 +237,24 @@
     return outputs;
   }
   ++aEngine.mSteps;
-  for (const std::string& id : aEngine.mStepWrites) {
-    WriteToken(aEngine, id, outputs);
+  for (const std::string& id : aEngine.mStepDecodes) {
+    EmitToken(aEngine, id, outputs);
   }
-  for (const auto& [id, part] : aEngine.mStepReads) {
-    ReadPart(aEngine, id, part, outputs);
+  for (const auto& [id, part] : aEngine.mStepPrefills) {
+    PrefillPart(aEngine, id, part, outputs);
   }
   BeginStep(aEngine, *aEngine.mStepEnds);
   return outputs;
 }
 
 double
-UnreadByEngine(const engine_model& aEngine)
+PendingPrefillTokens(const engine_model& aEngine)
 {
   double unread = 0;
   for (const auto& [id, job] : aEngine.mJobs) {
     if (job.mStage == job_stage::Waiting && !job.mJob.mHoldOnly) {
       unread +=
-        static_cast<double>(job.mJob.mPromptTokens) * job.mJob.mReadingPart;
+        static_cast<double>(job.mJob.mPromptTokens) * job.mJob.mPrefillPart;
     }
     unread += job.mStage == job_stage::Reading ? job.mUnread : 0;
   }
--- a/Libraries/LibModel/EngineModel.h
+++ b/Libraries/LibModel/EngineModel.h
@@ -31,14 +31,14 @@
   tokens mPromptTokens = 0;
   tokens mOutputTokens = 0;  ///< Tokens that it will write.
   tokens mReserveTokens = 0; ///< Memory that it holds.
-  std::vector<std::uint64_t> mMarks;
+  std::vector<std::uint64_t> mPrefixHashes;
   unsigned mPriority = 1;
   /// Part of the prompt's reading that this engine does itself, 0 to 1.
-  double mReadingPart = 1;
+  double mPrefillPart = 1;
   /// Memory held for another engine's prompt; ends only by being cancelled.
   bool mHoldOnly = false;
   /// A part of a prompt that several engines read: when it is read the job
-  /// holds its memory until `BeginWriting`, or for a member until cancelled.
+  /// holds its memory until `BeginDecoding`, or for a member until cancelled.
   bool mGroupPart = false;
 
   bool operator==(const engine_job&) const = default;
@@ -70,7 +70,7 @@
   tokens mIndex = 0;
   bool mLast = false;
   /// Not a token: a group's part has been read.
-  bool mPartRead = false;
+  bool mPartPrefilled = false;
 
   bool operator==(const engine_output&) const = default;
 };
@@ -83,13 +83,13 @@
   prefix_cache mCache;
   std::optional<time_point> mStepEnds;
   /// What the step under way reads and writes, by job.
-  std::map<std::string, double> mStepReads;
-  std::vector<std::string> mStepWrites;
-  double mSlowFactor = 1; ///< A fault: every step takes so much longer.
-  std::uint64_t mNextOrder = 0;
+  std::map<std::string, double> mStepPrefills;
+  std::vector<std::string> mStepDecodes;
+  double mStepTimeFactor = 1; ///< A fault: every step takes so much longer.
+  std::uint64_t mNextArrivalOrder = 0;
   std::uint64_t mSteps = 0;
-  double mTokensRead = 0;
-  std::uint64_t mTokensWritten = 0;
+  double mPrefilledTokens = 0;
+  std::uint64_t mDecodedTokens = 0;
   double mBusySeconds = 0;
 };
 
@@ -106,7 +106,7 @@
 /// All parts of the group have been read: its lead writes. False if the job
 /// is not there or not ready.
 bool
-BeginWriting(engine_model& aEngine, const std::string& aId, time_point aNow);
+BeginDecoding(engine_model& aEngine, const std::string& aId, time_point aNow);
 /// If the time of the step under way has come, ends it, gives what it wrote
 /// and begins the next.
 std::vector<engine_output>
@@ -114,6 +114,6 @@
 
 /// Prompt tokens that wait or are being read.
 double
-UnreadByEngine(const engine_model& aEngine);
+PendingPrefillTokens(const engine_model& aEngine);
 
 } // namespace primrose
--- a/Libraries/LibRules/LibRules.h
+++ b/Libraries/LibRules/LibRules.h
@@ -10,10 +10,10 @@
 namespace primrose {
 
 engine_shape
-ShapeOf(const model_settings& aModel);
+EngineShapeFor(const model_settings& aModel);
 agent_limits
 LimitsOf(const policy& aPolicy);
 placement_rules
-RulesOf(const policy& aPolicy);
+PlacementRulesFor(const policy& aPolicy);
 
 } // namespace primrose
--- a/Libraries/LibRules/Rules.cpp
+++ b/Libraries/LibRules/Rules.cpp
@@ -3,7 +3,7 @@
 namespace primrose {
 
 engine_shape
-ShapeOf(const model_settings& aModel)
+EngineShapeFor(const model_settings& aModel)
 {
   engine_shape shape;
   shape.mCapacity = static_cast<tokens>(aModel.mEngineTokens);
@@ -21,20 +21,20 @@
   agent_limits limits;
   limits.mLongTokensAtOnce = static_cast<tokens>(aPolicy.mLongTokensAtOnce);
   limits.mLongMemoryPart = aPolicy.mLongMemoryPart;
-  limits.mAgeing = FromSeconds(aPolicy.mAgeingSeconds);
+  limits.mAgeingInterval = FromSeconds(aPolicy.mAgeingSeconds);
   return limits;
 }
 
 placement_rules
-RulesOf(const policy& aPolicy)
+PlacementRulesFor(const policy& aPolicy)
 {
   placement_rules rules;
   rules.mProbes = static_cast<unsigned>(aPolicy.mProbes);
   rules.mShortProtection = aPolicy.mShortProtection;
   rules.mLongSpread = static_cast<unsigned>(aPolicy.mLongSpread);
-  rules.mFrontSlack = aPolicy.mLongPatience;
+  rules.mLongPoolSlack = aPolicy.mLongPatience;
   rules.mMostParts = static_cast<std::size_t>(aPolicy.mMostParts);
-  rules.mLongPart = static_cast<tokens>(aPolicy.mLongPartTokens);
+  rules.mMaxLongPartTokens = static_cast<tokens>(aPolicy.mLongPartTokens);
   return rules;
 }
 
--- a/Libraries/LibStore/TableClient.cpp
+++ b/Libraries/LibStore/TableClient.cpp
@@ -39,10 +39,10 @@
   json put = { { "table", kClaimTable },
                { "key", aWrite.mKey },
                { "value", ToJson(aWrite.mRow) } };
-  if (aWrite.mReplaces.empty()) {
+  if (aWrite.mReplacesAttempt.empty()) {
     put["if"] = "absent";
   } else {
-    put["if"] = { { "attempt", aWrite.mReplaces } };
+    put["if"] = { { "attempt", aWrite.mReplacesAttempt } };
   }
   return put;
 }
@@ -167,7 +167,7 @@
   return { { "attempt", aRow.mAttempt },
            { "agent", aRow.mAgent },
            { "request_hash", aRow.mRequestHash },
-           { "ends_ms", aRow.mEndsMs },
+           { "ends_ms", aRow.mExpiresAtMs },
            { "done", aRow.mDone },
            { "status", aRow.mStatus },
            { "content_type", aRow.mContentType },
@@ -182,7 +182,7 @@
     aValue.at("attempt").get_to(row.mAttempt);
     aValue.at("agent").get_to(row.mAgent);
     aValue.at("request_hash").get_to(row.mRequestHash);
-    aValue.at("ends_ms").get_to(row.mEndsMs);
+    aValue.at("ends_ms").get_to(row.mExpiresAtMs);
     aValue.at("done").get_to(row.mDone);
     aValue.at("status").get_to(row.mStatus);
     aValue.at("content_type").get_to(row.mContentType);
@@ -216,7 +216,7 @@
     aValue.at("region").get_to(endpoint.mRegion);
     aValue.at("data_centre").get_to(endpoint.mDataCentre);
     const std::optional<vm_kind> kind =
-      VmKindNamed(aValue.at("kind").get<std::string>());
+      ParseVmKind(aValue.at("kind").get<std::string>());
     if (!kind) {
       return std::nullopt;
     }
--- a/Libraries/LibWire/Convert.cpp
+++ b/Libraries/LibWire/Convert.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 void
-ToWire(const work_shape& aShape, wire::Query::Builder aQuery)
+ToWire(const request_shape& aShape, wire::Query::Builder aQuery)
 {
   aQuery.setModel(aShape.mModel);
   aQuery.setOrganisation(aShape.mOrganisation);
@@ -23,17 +23,17 @@
   aQuery.setMaxTokens(aShape.mMaxTokens);
   aQuery.setPriority(static_cast<std::uint8_t>(aShape.mPriority));
   aQuery.setIsLong(aShape.mLong);
-  const unsigned count = static_cast<unsigned>(aShape.mMarks.size());
+  const unsigned count = static_cast<unsigned>(aShape.mPrefixHashes.size());
   capnp::List<std::uint64_t>::Builder marks = aQuery.initMarks(count);
   for (unsigned i = 0; i < count; ++i) {
-    marks.set(i, aShape.mMarks[i]);
+    marks.set(i, aShape.mPrefixHashes[i]);
   }
 }
 
-work_shape
+request_shape
 FromWire(wire::Query::Reader aQuery)
 {
-  work_shape shape;
+  request_shape shape;
   shape.mModel = TextFrom(aQuery.getModel());
   shape.mOrganisation = TextFrom(aQuery.getOrganisation());
   shape.mPromptTokens = std::min(aQuery.getPromptTokens(), kMostTokens);
@@ -42,7 +42,7 @@
   shape.mLong = aQuery.getIsLong();
   const unsigned count = std::min(aQuery.getMarks().size(), kMostMarks);
   for (unsigned i = 0; i < count; ++i) {
-    shape.mMarks.push_back(aQuery.getMarks()[i]);
+    shape.mPrefixHashes.push_back(aQuery.getMarks()[i]);
   }
   return shape;
 }
@@ -53,13 +53,13 @@
   aWire.setRefusal(ToWire(aAnswer.mRefusal));
   aWire.setFirstTokenMs(static_cast<std::uint64_t>(aAnswer.mFirstTokenSeconds *
                                                    kMillisecondsPerSecond));
-  aWire.setFreeTokens(aAnswer.mFree);
+  aWire.setFreeTokens(aAnswer.mFreeMemoryTokens);
   aWire.setCapacityTokens(aAnswer.mCapacity);
-  aWire.setCachedTokens(aAnswer.mCached);
-  aWire.setQueuedTokens(aAnswer.mQueued);
+  aWire.setCachedTokens(aAnswer.mCachedTokens);
+  aWire.setQueuedTokens(aAnswer.mQueuedTokens);
   aWire.setLongTokens(aAnswer.mLong);
-  aWire.setRunning(aAnswer.mRunning);
-  aWire.setSlowdown(static_cast<float>(aAnswer.mSlowdown));
+  aWire.setRunning(aAnswer.mRunningSequences);
+  aWire.setSlowdown(static_cast<float>(aAnswer.mStepSlowdown));
 }
 
 probe_answer
@@ -69,13 +69,13 @@
   answer.mRefusal = FromWire(aWire.getRefusal());
   answer.mFirstTokenSeconds =
     static_cast<double>(aWire.getFirstTokenMs()) / kMillisecondsPerSecond;
-  answer.mFree = aWire.getFreeTokens();
+  answer.mFreeMemoryTokens = aWire.getFreeTokens();
   answer.mCapacity = aWire.getCapacityTokens();
-  answer.mCached = aWire.getCachedTokens();
-  answer.mQueued = aWire.getQueuedTokens();
+  answer.mCachedTokens = aWire.getCachedTokens();
+  answer.mQueuedTokens = aWire.getQueuedTokens();
   answer.mLong = aWire.getLongTokens();
-  answer.mRunning = aWire.getRunning();
-  answer.mSlowdown = static_cast<double>(aWire.getSlowdown());
+  answer.mRunningSequences = aWire.getRunning();
+  answer.mStepSlowdown = static_cast<double>(aWire.getSlowdown());
   return answer;
 }
 
--- a/Libraries/LibWire/Convert.h
+++ b/Libraries/LibWire/Convert.h
@@ -9,8 +9,8 @@
 namespace primrose {
 
 void
-ToWire(const work_shape& aShape, wire::Query::Builder aQuery);
-work_shape
+ToWire(const request_shape& aShape, wire::Query::Builder aQuery);
+request_shape
 FromWire(wire::Query::Reader aQuery);
 
 void
--- a/Services/Agent/AgentService.cpp
+++ b/Services/Agent/AgentService.cpp
@@ -37,10 +37,11 @@
   , mDrained(std::move(aDrained))
 {
   const model_settings* const model = aTree.Model(aSettings.mServes);
-  mBoard = MakeAgentBoard(aSettings.mServes,
-                          model == nullptr ? engine_shape{} : ShapeOf(*model),
-                          LimitsOf(aTree.Resolve({})),
-                          aClock.Now());
+  mBoard =
+    MakeAgentState(aSettings.mServes,
+                   model == nullptr ? engine_shape{} : EngineShapeFor(*model),
+                   LimitsOf(aTree.Resolve({})),
+                   aClock.Now());
 }
 
 void
@@ -159,7 +160,7 @@
 }
 
 probe_answer
-agent_service::Probe(const work_shape& aShape)
+agent_service::Probe(const request_shape& aShape)
 {
   mMetrics.Count("primrose_probes_total");
   return primrose::Probe(mBoard, aShape, mClock.Now());
@@ -234,17 +235,17 @@
 void
 agent_service::EndExpiredReservations()
 {
-  for (const expired_work& item : Expire(mBoard, mClock.Now())) {
+  for (const expired_reservation& item : Expire(mBoard, mClock.Now())) {
     Log(log_level::Warning,
         "work_expired",
         { { "request", item.mRequest },
           { "attempt", item.mAttempt },
-          { "cause", ExpiryName(item.mCause) } });
-    mMetrics.Count(
-      Labelled("primrose_expired_total", "cause", ExpiryName(item.mCause)));
+          { "cause", ExpiryCauseName(item.mCause) } });
+    mMetrics.Count(Labelled(
+      "primrose_expired_total", "cause", ExpiryCauseName(item.mCause)));
     const auto waiting = mWaiting.find(item.mAttempt);
     if (waiting != mWaiting.end()) {
-      const refusal reason = item.mCause == expiry_cause::WaitOver
+      const refusal reason = item.mCause == expiry_cause::WaitExpired
                                ? refusal::NoRoom
                                : refusal::TooLate;
       waiting->second->fulfill(kj::cp(reason));
@@ -254,7 +255,7 @@
     if (abort != mAbortFulfillers.end()) {
       stream_end end;
       end.mRan = ran_state::Unknown;
-      end.mProblem = std::string(ExpiryName(item.mCause));
+      end.mProblem = std::string(ExpiryCauseName(item.mCause));
       abort->second->fulfill(kj::mv(end));
     }
     if (mSubmittedAttempts.erase(item.mAttempt) > 0) {
@@ -269,12 +270,12 @@
                            engine_request aRequest,
                            engine_client::chunk_handler aHandler)
 {
-  if (!StartReading(mBoard, aAttempt, mClock.Now())) {
+  if (!StartPrefill(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
     end.mProblem = "the reservation is gone";
     return end;
   }
-  const work_shape& shape = mBoard.mWork.at(aAttempt).mReservation.mShape;
+  const request_shape& shape = mBoard.mWork.at(aAttempt).mReservation.mShape;
   aRequest.mId = aAttempt;
   aRequest.mMaxTokens = shape.mMaxTokens;
   // The engine prefills short prompts before long ones, whatever their
@@ -289,7 +290,7 @@
   const engine_client::chunk_handler recordingHandler =
     [this, aAttempt, aHandler](std::uint64_t aIndex, std::string aText) {
       if (aIndex == 0) {
-        NoteFirstToken(mBoard, aAttempt, mClock.Now());
+        RecordFirstToken(mBoard, aAttempt, mClock.Now());
         DispatchWaiting();
       }
       return aHandler(aIndex, std::move(aText));
@@ -316,18 +317,19 @@
 kj::Promise<stream_end>
 agent_service::HoldMemberMemory(const std::string& aAttempt)
 {
-  if (!StartReading(mBoard, aAttempt, mClock.Now())) {
+  if (!StartPrefill(mBoard, aAttempt, mClock.Now())) {
     stream_end end;
     end.mProblem = "the reservation is gone";
     return end;
   }
-  const tokens need = mBoard.mWork.at(aAttempt).mReservation.mShape.Need();
+  const tokens need =
+    mBoard.mWork.at(aAttempt).mReservation.mShape.MemoryTokens();
   mSubmittedAttempts.insert(aAttempt);
   return mEngine.HoldMemory(aAttempt, need).then([this, aAttempt](bool aHeld) {
     stream_end end;
     end.mComplete = aHeld;
     end.mProblem = aHeld ? "" : "the engine did not hold the memory";
-    NoteFirstToken(mBoard, aAttempt, mClock.Now());
+    RecordFirstToken(mBoard, aAttempt, mClock.Now());
     return end;
   });
 }
@@ -410,7 +412,7 @@
     work.push_back({ { "attempt", attempt },
                      { "stage", kStages[static_cast<int>(held.mStage)] },
                      { "organisation", held.mReservation.mShape.mOrganisation },
-                     { "tokens", held.mReservation.mShape.Need() } });
+                     { "tokens", held.mReservation.mShape.MemoryTokens() } });
   }
   return { { "name", mSettings.mName },
            { "role", "agent" },
@@ -421,7 +423,7 @@
            { "endpoint_up", !mSettings.mIsEngine || mBoard.mEngineUp },
            { "capacity_tokens", mBoard.mShape.mCapacity },
            { "used_tokens", mBoard.mUsed },
-           { "slowness", mBoard.mSlowness },
+           { "slowness", mBoard.mPrefillSlowdown },
            { "calls_in_flight", mCalls.InFlight() },
            { "work", work } };
 }
--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -32,7 +32,7 @@
 
   // Called by the RPC servers (see AgentServer.cpp).
   kj::Promise<refusal> Reserve(const reservation& aReservation);
-  probe_answer Probe(const work_shape& aShape);
+  probe_answer Probe(const request_shape& aShape);
   kj::Promise<stream_end> RunOnEngine(const std::string& aAttempt,
                                       engine_request aRequest,
                                       engine_client::chunk_handler aHandler);
@@ -65,7 +65,7 @@
   engine_client mEngine;
   table_client mStore;
   guarded_calls mCalls;
-  agent_board mBoard;
+  agent_state mBoard;
   std::function<void()> mDrained;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<refusal>>> mWaiting;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<stream_end>>>
--- a/Services/Agent/GuardedCalls.cpp
+++ b/Services/Agent/GuardedCalls.cpp
@@ -89,13 +89,13 @@
 kj::Promise<service_answer>
 guarded_calls::RunGuarded(service_call aCall)
 {
-  WantClaim(mBoard,
-            ClaimKey(aCall),
-            aCall.mAttempt,
-            RequestHash(aCall),
-            aCall.mDeadline - kAnswerMargin,
-            mClock.Now(),
-            mClock.Wall());
+  QueueClaim(mBoard,
+             ClaimKey(aCall),
+             aCall.mAttempt,
+             RequestHash(aCall),
+             aCall.mDeadline - kAnswerMargin,
+             mClock.Now(),
+             mClock.Wall());
   kj::Promise<void> settled =
     WaitForClaim(aCall.mAttempt, aCall.mDeadline - kAnswerMargin);
   ProcessStoreQueue();
@@ -136,7 +136,7 @@
   // Reads the clock again after the last wait: if this process was paused
   // while it held the claim, the caller may have given up, and the call must
   // not run any more.
-  if (!BeginRun(mBoard, aCall.mAttempt, mClock.Now())) {
+  if (!BeginExecution(mBoard, aCall.mAttempt, mClock.Now())) {
     GiveUp(mBoard, aCall.mAttempt, mClock.Now());
     return NotRunAnswer(aCall);
   }
@@ -149,7 +149,7 @@
         row.mContentType = aAnswer.mContentType;
         row.mBody = aAnswer.mBody.size() <= kMaxStoredBodyBytes ? aAnswer.mBody
                                                                 : std::string();
-        NoteRun(mBoard, attempt, std::move(row));
+        RecordExecution(mBoard, attempt, std::move(row));
         ProcessStoreQueue();
       }
       return aAnswer;
@@ -157,7 +157,7 @@
     .attach(kj::defer([this, attempt]() {
       // The row stays in the store, so that a repeat is answered that the
       // outcome is unknown.
-      ForgetClaim(mBoard, attempt);
+      DropClaim(mBoard, attempt);
     }));
 }
 
@@ -177,7 +177,7 @@
 {
   const claim_row row =
     FindClaim(mBoard, aCall.mAttempt)->mRow.value_or(claim_row{});
-  ForgetClaim(mBoard, aCall.mAttempt);
+  DropClaim(mBoard, aCall.mAttempt);
   if (row.mRequestHash != RequestHash(aCall)) {
     return FailedAnswer(error_kind::KeyReused,
                         "this Idempotency-Key came with another request",
@@ -201,7 +201,7 @@
       });
   }
   const bool ended =
-    mClock.Wall().time_since_epoch().count() > row.mEndsMs + kClockSkewMs;
+    mClock.Wall().time_since_epoch().count() > row.mExpiresAtMs + kClockSkewMs;
   return FailedAnswer(
     ended ? error_kind::OutcomeUnknown : error_kind::InProgress,
     ended ? "the first call with this key may have run"
@@ -268,7 +268,7 @@
   WakeWaiters();
   WriteDueClaims();
   ReadDueClaims();
-  const std::optional<time_point> next = NextStoreWork(mBoard);
+  const std::optional<time_point> next = NextStoreRequestTime(mBoard);
   if (!next) {
     mTimer = nullptr;
     return;
@@ -293,7 +293,7 @@
   mMetrics.Count("primrose_store_rows_total",
                  static_cast<double>(writes.size()));
   mTasks.add(mStore.WriteClaims(writes).then([this](transaction_result aDone) {
-    NoteWritten(
+    RecordWriteOutcome(
       mBoard, aDone.mOutcome, aDone.mConflicts, mClock.Now(), mRandom);
     ProcessStoreQueue();
   }));
@@ -309,7 +309,7 @@
   mMetrics.Count("primrose_store_reads_total");
   mTasks.add(mStore.ReadClaims(keys).then(
     [this](std::optional<std::map<std::string, claim_row>> aRows) {
-      NoteRead(mBoard, aRows, mClock.Now(), mRandom);
+      RecordReadBack(mBoard, aRows, mClock.Now(), mRandom);
       ProcessStoreQueue();
     }));
 }
--- a/Services/Agent/GuardedCalls.h
+++ b/Services/Agent/GuardedCalls.h
@@ -83,7 +83,7 @@
   metrics& mMetrics;
   std::string mEndpoint;
   random_engine mRandom;
-  claim_board mBoard;
+  claim_registry mBoard;
   std::map<std::string, kj::Own<kj::PromiseFulfiller<void>>> mWaiters;
   kj::Maybe<kj::Promise<void>> mTimer;
   std::size_t mInFlight = 0;
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -104,7 +104,7 @@
       return Send(endpoint, aAgent);
     })
     .catch_([this, endpoint](kj::Exception&& aException) {
-      NoteFailure(mBoard.mDirectory, endpoint, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, endpoint, mClock.Now(), mBoard.mRandom);
       return RetryOrFail({ error_kind::EndpointFailed,
                            aException.getDescription().cStr(),
                            mRan,
@@ -137,14 +137,14 @@
       -> kj::Promise<void> {
       const wire::CallAnswer::Reader answer = aResponse.getAnswer();
       if (answer.getRefusal() == wire::Refusal::NONE) {
-        NoteSuccess(mBoard.mDirectory, aEndpoint);
+        RecordSuccess(mBoard.mDirectory, aEndpoint);
         ReturnAnswer(answer);
         return kj::READY_NOW;
       }
       // The agent refused before it sent anything to the endpoint.
       mRan = ranBefore;
       if (FromWire(answer.getRefusal()) == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, aEndpoint);
+        MarkLeaving(mBoard.mDirectory, aEndpoint);
       }
       return RetryOrFail({ error_kind::EndpointLeaving,
                            "the endpoint is leaving",
@@ -169,7 +169,7 @@
   }
   mBoard.mMetrics.Count("primrose_retries_total");
   const duration pause =
-    RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
+    RetryBackoff(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
   return Delay(pause).then([this]() { return StartAttempt(); });
 }
 
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -76,8 +76,8 @@
 completion_run::~completion_run()
 {
   --mBoard.mInFlight;
-  EndAdmission(mBoard.mOrganisations[mRequest.mShape.mOrganisation],
-               mRequest.mShape.Need());
+  ReleaseAdmittedTokens(mBoard.mOrganisations[mRequest.mShape.mOrganisation],
+                        mRequest.mShape.MemoryTokens());
 }
 
 duration
@@ -188,7 +188,7 @@
     return kj::READY_NOW;
   }
   const duration pause =
-    RetryPause(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
+    RetryBackoff(mAttempts, FromSeconds(rules.mBackoffSeconds), mBoard.mRandom);
   mBoard.mMetrics.Count("primrose_retries_total");
   RecordDecision(
     mBoard,
@@ -277,10 +277,10 @@
   if (!aProblem) {
     return WaitForAllChunks(aChunks).then([this]() { Finish(); });
   }
-  NoteFailure(mBoard.mDirectory,
-              mReservedEndpoints.front().mEndpoint,
-              mClock.Now(),
-              mBoard.mRandom);
+  RecordFailure(mBoard.mDirectory,
+                mReservedEndpoints.front().mEndpoint,
+                mClock.Now(),
+                mBoard.mRandom);
   Log(log_level::Warning,
       "attempt_failed",
       { { "request", mRequest.mHead.mId },
@@ -363,7 +363,7 @@
 void
 completion_run::RecordFirstChunk()
 {
-  NoteSuccess(mBoard.mDirectory, mReservedEndpoints.front().mEndpoint);
+  RecordSuccess(mBoard.mDirectory, mReservedEndpoints.front().mEndpoint);
   mBoard.mMetrics.Observe("primrose_first_token_seconds_" +
                             PromptLengthClass(mRequest.mShape.mPromptTokens),
                           Seconds(mClock.Now() - mStarted));
--- a/Services/Entry/EntryService.cpp
+++ b/Services/Entry/EntryService.cpp
@@ -17,7 +17,7 @@
   state.mSettings = std::move(aSettings);
   state.mTree = std::move(aTree);
   state.mRandom.seed(FreshSeed());
-  state.mRetries.mLevel = kMostSavedRetries;
+  state.mRetries.mLevel = kMaxSavedRetries;
   return state;
 }
 
@@ -115,12 +115,12 @@
   const policy& rules = aRequest.mHead.mPolicy;
   const tree_path organisation{ aRequest.mHead.mPath.mOrganisation, "", "" };
   const policy limits = mBoard.mTree.Resolve(organisation);
-  organisation_use& use = mBoard.mOrganisations[organisation.mOrganisation];
+  organisation_usage& use = mBoard.mOrganisations[organisation.mOrganisation];
   const double share = 1.0 / static_cast<double>(EntryCount(mBoard.mDirectory));
   const admission verdict =
     Admit(use,
           { limits.mTokensPerSecond, limits.mConcurrentTokens, share },
-          aRequest.mShape.Need(),
+          aRequest.mShape.MemoryTokens(),
           mClock.Now());
   if (verdict.mVerdict != admission_verdict::Admitted) {
     const bool overRate = verdict.mVerdict == admission_verdict::OverRate;
@@ -286,7 +286,7 @@
   json endpoints = json::array();
   const time_point now = mClock.Now();
   for (const auto& [name, view] : mBoard.mDirectory.mEndpoints) {
-    const bool leaving = view.mListed.mLeaving || view.mSaidLeaving;
+    const bool leaving = view.mListed.mLeaving || view.mReportedLeaving;
     const bool avoided = now < view.mAvoidUntil;
     endpoints.push_back(
       { { "name", name },
@@ -307,7 +307,7 @@
              fmt::format("{:016x}", mBoard.mTree.DocumentHash()) },
            { "list_seconds_old",
              mBoard.mDirectory.mHasList
-               ? json(Seconds(now - mBoard.mDirectory.mListSeen))
+               ? json(Seconds(now - mBoard.mDirectory.mListReceivedAt))
                : json(nullptr) },
            { "endpoints", endpoints } };
 }
--- a/Services/Entry/EntryState.h
+++ b/Services/Entry/EntryState.h
@@ -17,8 +17,8 @@
   node_settings mSettings;
   settings_tree mTree;
   endpoint_directory mDirectory;
-  std::map<std::string, placement_memory> mLongPromptPools; ///< By model.
-  std::map<std::string, organisation_use> mOrganisations;
+  std::map<std::string, placement_state> mLongPromptPools; ///< By model.
+  std::map<std::string, organisation_usage> mOrganisations;
   retry_budget mRetries;
   decision_log mDecisions;
   metrics mMetrics;
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -50,15 +50,15 @@
               const std::set<std::string>& aFailed)
 {
   std::shared_ptr<search> state = std::make_shared<search>();
-  const work_shape& shape = aRequest.mShape;
+  const request_shape& shape = aRequest.mShape;
   // Copies only the head and shape: the prompt is not needed here and may have
   // megabytes.
   state->mRequest.mHead = aRequest.mHead;
   state->mRequest.mShape = shape;
-  state->mRules = RulesOf(aRequest.mHead.mPolicy);
+  state->mRules = PlacementRulesFor(aRequest.mHead.mPolicy);
   const model_settings* const model = mBoard.mTree.Model(shape.mModel);
   if (model != nullptr) {
-    state->mEngine = ShapeOf(*model);
+    state->mEngine = EngineShapeFor(*model);
   }
   for (const endpoint_view* const view :
        Usable(mBoard.mDirectory, shape.mModel, mClock.Now())) {
@@ -82,12 +82,12 @@
   }
   kj::Vector<kj::Promise<std::optional<candidate>>> probes;
   for (const std::size_t index :
-       ChooseToProbe(state->mNames,
-                     shape,
-                     state->mRules,
-                     mBoard.mLongPromptPools[shape.mModel],
-                     state->mGroup,
-                     mBoard.mRandom)) {
+       ChooseProbeTargets(state->mNames,
+                          shape,
+                          state->mRules,
+                          mBoard.mLongPromptPools[shape.mModel],
+                          state->mGroup,
+                          mBoard.mRandom)) {
     probes.add(ProbeAgent(state, index));
   }
   return kj::joinPromises(probes.releaseAsArray())
@@ -104,7 +104,7 @@
   if (connection == nullptr) {
     return std::optional<candidate>();
   }
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, hold_role::Lead);
   mBoard.mMetrics.Count("primrose_probes_sent_total");
   kj::Promise<std::optional<candidate>> answer =
@@ -121,9 +121,9 @@
     FromSeconds(aSearch->mRequest.mHead.mPolicy.mProbeTimeoutSeconds);
   return WithTimeout(kj::mv(answer), limit)
     .then([this, name](std::optional<candidate> aAnswer) {
-      NoteSuccess(mBoard.mDirectory, name);
+      RecordSuccess(mBoard.mDirectory, name);
       if (aAnswer->mAnswer.mRefusal == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, name);
+        MarkLeaving(mBoard.mDirectory, name);
       }
       return aAnswer;
     })
@@ -132,7 +132,7 @@
           "probe_failed",
           { { "endpoint", name },
             { "why", aException.getDescription().cStr() } });
-      NoteFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
       mBoard.mMetrics.Count("primrose_probes_lost_total");
       return std::optional<candidate>();
     })
@@ -154,23 +154,23 @@
       state.mRefusals[state.mNames[answer->mIndex]] = answer->mAnswer.mRefusal;
     }
   }
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(state.mRequest.mShape, state.mGroup, hold_role::Lead);
-  LearnFront(mBoard.mLongPromptPools[shape.mModel],
-             state.mCandidates,
-             shape,
-             state.mRules,
-             state.mEngine,
-             state.mGroup,
-             state.mNames.size());
+  UpdateLongPoolSize(mBoard.mLongPromptPools[shape.mModel],
+                     state.mCandidates,
+                     shape,
+                     state.mRules,
+                     state.mEngine,
+                     state.mGroup,
+                     state.mNames.size());
   state.mRanked =
     RankCandidates(state.mCandidates,
                    shape,
                    state.mRules,
                    state.mEngine,
-                   PacksLong(state.mRules,
-                             mBoard.mLongPromptPools[shape.mModel],
-                             state.mNames.size()));
+                   PacksLongPrompts(state.mRules,
+                                    mBoard.mLongPromptPools[shape.mModel],
+                                    state.mNames.size()));
   RecordPlacementDecision(state);
   if (state.mRanked.size() < state.mGroup) {
     return MakePlacementFailure(state);
@@ -206,8 +206,8 @@
         usable ? scored->mScore : 0,
         usable ? fmt::format("first token {:.3f} s, {} running, {} cached",
                              one.mAnswer.mFirstTokenSeconds,
-                             one.mAnswer.mRunning,
-                             one.mAnswer.mCached)
+                             one.mAnswer.mRunningSequences,
+                             one.mAnswer.mCachedTokens)
                : std::string(RefusalName(one.mAnswer.mRefusal)) });
   }
   RecordDecision(
@@ -263,7 +263,7 @@
     return kj::READY_NOW;
   }
   const request_head head = aSearch->mRequest.mHead;
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(aSearch->mRequest.mShape, aSearch->mGroup, aRole);
   const std::string attempt = mIds.Next();
   return connection->Get()
@@ -297,11 +297,11 @@
       }
       aSearch->mRefusals[name] = answer;
       if (answer == refusal::Leaving) {
-        NoteLeaving(mBoard.mDirectory, name);
+        MarkLeaving(mBoard.mDirectory, name);
       }
     })
     .catch_([this, aSearch, name](kj::Exception&&) {
-      NoteFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
+      RecordFailure(mBoard.mDirectory, name, mClock.Now(), mBoard.mRandom);
       ++aSearch->mUnansweredCount;
     });
 }
--- a/Services/Entry/RequestParser.cpp
+++ b/Services/Entry/RequestParser.cpp
@@ -127,7 +127,7 @@
       body, "max_tokens", kDefaultOutputTokens, 1, kMaxOutputTokens));
   BOOST_LEAF_ASSIGN(request.mStream, OptionalFlag(body, "stream", false));
   const policy& rules = request.mHead.mPolicy;
-  work_shape& shape = request.mShape;
+  request_shape& shape = request.mShape;
   shape.mModel = model;
   shape.mOrganisation = organisation;
   shape.mPromptTokens = std::max<tokens>(1, EstimateTokens(request.mPrompt));
@@ -135,7 +135,7 @@
   shape.mPriority = static_cast<unsigned>(rules.mPriority);
   shape.mLong =
     static_cast<double>(shape.mPromptTokens) >= rules.mLongPromptTokens;
-  shape.mMarks = PromptMarks(request.mPrompt);
+  shape.mPrefixHashes = PrefixHashes(request.mPrompt);
   BOOST_LEAF_CHECK(CheckPromptLength(request));
   return request;
 }
--- a/Services/Entry/RequestParser.h
+++ b/Services/Entry/RequestParser.h
@@ -24,7 +24,7 @@
 {
   request_head mHead;
   std::string mPrompt;
-  work_shape mShape;
+  request_shape mShape;
   bool mStream = false;
 
   bool operator==(const completion_request&) const = default;
--- a/Tests/EndToEnd/Fleet.cpp
+++ b/Tests/EndToEnd/Fleet.cpp
@@ -142,7 +142,7 @@
               const std::string& aAddress)
 {
   const listed_endpoint listed{ aName,    aAddress, aServes,
-                                "region", "centre", *VmKindNamed(aKind),
+                                "region", "centre", *ParseVmKind(aKind),
                                 false };
   http_request request{ "PUT",
                         "http://" + Address("platform") + "/vms/" + aName };
--- a/Tests/Unit/ClaimsTest.cpp
+++ b/Tests/Unit/ClaimsTest.cpp
@@ -22,10 +22,10 @@
     std::vector<std::string> conflicts;
     for (const claim_write& write : aWrites) {
       const auto row = mRows.find(write.mKey);
-      const bool holds =
-        write.mReplaces.empty()
-          ? row == mRows.end()
-          : row != mRows.end() && row->second.mAttempt == write.mReplaces;
+      const bool holds = write.mReplacesAttempt.empty()
+                           ? row == mRows.end()
+                           : row != mRows.end() &&
+                               row->second.mAttempt == write.mReplacesAttempt;
       if (!holds) {
         conflicts.push_back(write.mKey);
       }
@@ -47,9 +47,11 @@
 }
 
 void
-Want(claim_board& aBoard, const std::string& aKey, const std::string& aAttempt)
+Want(claim_registry& aBoard,
+     const std::string& aKey,
+     const std::string& aAttempt)
 {
-  WantClaim(aBoard, aKey, aAttempt, 7, At(1000000), At(0), wall_time{});
+  QueueClaim(aBoard, aKey, aAttempt, 7, At(1000000), At(0), wall_time{});
 }
 
 constexpr int kKeys = 3;
@@ -58,7 +60,7 @@
 /// The system under the fuzz: agents, the table, transactions on their way.
 struct system_under_test
 {
-  claim_board mAgents[kAgents];
+  claim_registry mAgents[kAgents];
   table mTable;
   std::vector<std::vector<claim_write>> mDelayed; ///< Will reach the table.
   std::map<std::string, int> mExecutions;         ///< By key.
@@ -100,7 +102,7 @@
   void run(const model&, system_under_test& aSystem) const override
   {
     aSystem.mTime += 10000;
-    claim_board& board = aSystem.mAgents[mAgent];
+    claim_registry& board = aSystem.mAgents[mAgent];
     const std::vector<claim_write> writes =
       TakeWrites(board, At(aSystem.mTime));
     if (writes.empty()) {
@@ -108,21 +110,21 @@
     }
     const time_point now = At(aSystem.mTime);
     if (mFate == 0) { // Lost on the way there.
-      NoteWritten(board, write_outcome::Lost, {}, now, aSystem.mRandom);
+      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
     } else if (mFate == 1) { // Took effect; the answer was lost.
       aSystem.mTable.Write(writes);
-      NoteWritten(board, write_outcome::Lost, {}, now, aSystem.mRandom);
+      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
     } else if (mFate == 2) { // Reaches the table later.
       aSystem.mDelayed.push_back(writes);
-      NoteWritten(board, write_outcome::Lost, {}, now, aSystem.mRandom);
+      RecordWriteOutcome(board, write_outcome::Lost, {}, now, aSystem.mRandom);
     } else {
       const std::vector<std::string> conflicts = aSystem.mTable.Write(writes);
-      NoteWritten(board,
-                  conflicts.empty() ? write_outcome::Committed
-                                    : write_outcome::Conflict,
-                  conflicts,
-                  now,
-                  aSystem.mRandom);
+      RecordWriteOutcome(board,
+                         conflicts.empty() ? write_outcome::Committed
+                                           : write_outcome::Conflict,
+                         conflicts,
+                         now,
+                         aSystem.mRandom);
     }
   }
 };
@@ -146,7 +148,7 @@
   void run(const model&, system_under_test& aSystem) const override
   {
     aSystem.mTime += 10000;
-    claim_board& board = aSystem.mAgents[mAgent];
+    claim_registry& board = aSystem.mAgents[mAgent];
     const std::vector<std::string> keys = TakeReads(board, At(aSystem.mTime));
     if (keys.empty()) {
       return;
@@ -155,7 +157,7 @@
     if (!mFails) {
       rows = aSystem.mTable.mRows;
     }
-    NoteRead(board, rows, At(aSystem.mTime), aSystem.mRandom);
+    RecordReadBack(board, rows, At(aSystem.mTime), aSystem.mRandom);
   }
 };
 
@@ -167,13 +169,13 @@
 
   void run(const model&, system_under_test& aSystem) const override
   {
-    claim_board& board = aSystem.mAgents[mAgent];
+    claim_registry& board = aSystem.mAgents[mAgent];
     std::vector<std::string> attempts;
     for (const auto& [attempt, claim] : board.mClaims) {
       attempts.push_back(attempt);
     }
     for (const std::string& attempt : attempts) {
-      if (!BeginRun(board, attempt, At(0))) {
+      if (!BeginExecution(board, attempt, At(0))) {
         continue;
       }
       const int count = ++aSystem.mExecutions[aSystem.mKeyOf[attempt]];
@@ -181,9 +183,9 @@
       RC_ASSERT(count == 1);
       RC_ASSERT(!aSystem.mNotRun.contains(attempt));
       if (mEnds) {
-        NoteRun(board, attempt, {});
+        RecordExecution(board, attempt, {});
       } else {
-        ForgetClaim(board, attempt);
+        DropClaim(board, attempt);
       }
     }
   }
@@ -196,7 +198,7 @@
 
   void run(const model&, system_under_test& aSystem) const override
   {
-    claim_board& board = aSystem.mAgents[mAgent];
+    claim_registry& board = aSystem.mAgents[mAgent];
     if (board.mClaims.empty()) {
       return;
     }
@@ -216,7 +218,7 @@
 
   void run(const model&, system_under_test& aSystem) const override
   {
-    aSystem.mAgents[mAgent] = claim_board();
+    aSystem.mAgents[mAgent] = claim_registry();
   }
 };
 
@@ -226,11 +228,11 @@
 {
   CPPUNIT_TEST_SUITE(claims_test);
   CPPUNIT_TEST(LostAnswerIsReadBack);
-  CPPUNIT_TEST(SecondAgentMeetsTheRow);
-  CPPUNIT_TEST(PausedHolderDoesNotRun);
-  CPPUNIT_TEST(GivenUpClaimIsTakenOver);
-  CPPUNIT_TEST(WritesFollowTimeNotCalls);
-  CPPUNIT_TEST(AnyHistoryRunsAKeyOnce);
+  CPPUNIT_TEST(SecondAgentFindsKeyTaken);
+  CPPUNIT_TEST(ClaimPastDeadlineDoesNotRun);
+  CPPUNIT_TEST(AbandonedClaimIsReplaced);
+  CPPUNIT_TEST(WritesAreBatchedOverTime);
+  CPPUNIT_TEST(NoKeyRunsTwice);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -240,90 +242,92 @@
   void LostAnswerIsReadBack()
   {
     random_engine random(1);
-    claim_board board;
+    claim_registry board;
     table store;
     Want(board, "k", "a1");
     store.Write(TakeWrites(board, At(0)));
-    NoteWritten(board, write_outcome::Lost, {}, At(0), random);
-    CPPUNIT_ASSERT(!BeginRun(board, "a1", At(0)));
+    RecordWriteOutcome(board, write_outcome::Lost, {}, At(0), random);
+    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(0)));
     const std::vector<std::string> keys = TakeReads(board, At(60000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), keys.size());
-    NoteRead(board, store.mRows, At(60000), random);
-    CPPUNIT_ASSERT(BeginRun(board, "a1", At(60000)));
-    CPPUNIT_ASSERT(!BeginRun(board, "a1", At(60000)));
+    RecordReadBack(board, store.mRows, At(60000), random);
+    CPPUNIT_ASSERT(BeginExecution(board, "a1", At(60000)));
+    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(60000)));
   }
 
-  void SecondAgentMeetsTheRow()
+  void SecondAgentFindsKeyTaken()
   {
     random_engine random(1);
-    claim_board first;
-    claim_board second;
+    claim_registry first;
+    claim_registry second;
     table store;
     Want(first, "k", "a1");
     store.Write(TakeWrites(first, At(0)));
-    NoteWritten(first, write_outcome::Committed, {}, At(0), random);
+    RecordWriteOutcome(first, write_outcome::Committed, {}, At(0), random);
     Want(second, "k", "b1");
     const std::vector<std::string> conflicts =
       store.Write(TakeWrites(second, At(0)));
-    NoteWritten(second, write_outcome::Conflict, conflicts, At(0), random);
+    RecordWriteOutcome(
+      second, write_outcome::Conflict, conflicts, At(0), random);
     TakeReads(second, At(0));
-    NoteRead(second, store.mRows, At(0), random);
+    RecordReadBack(second, store.mRows, At(0), random);
     CPPUNIT_ASSERT(FindClaim(second, "b1")->mStage == claim_stage::Taken);
-    CPPUNIT_ASSERT(!BeginRun(second, "b1", At(0)));
-    CPPUNIT_ASSERT(BeginRun(first, "a1", At(0)));
+    CPPUNIT_ASSERT(!BeginExecution(second, "b1", At(0)));
+    CPPUNIT_ASSERT(BeginExecution(first, "a1", At(0)));
   }
 
   /// Symptom: a call runs after its caller was told that it did not.
   /// Sequence: the claim is held; the agent is paused past the deadline.
   /// Cause: running on the belief from before the pause.
-  void PausedHolderDoesNotRun()
+  void ClaimPastDeadlineDoesNotRun()
   {
     random_engine random(1);
-    claim_board board;
+    claim_registry board;
     table store;
     Want(board, "k", "a1");
     store.Write(TakeWrites(board, At(0)));
-    NoteWritten(board, write_outcome::Committed, {}, At(0), random);
-    CPPUNIT_ASSERT(!BeginRun(board, "a1", At(2000000)));
+    RecordWriteOutcome(board, write_outcome::Committed, {}, At(0), random);
+    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(2000000)));
   }
 
   /// Symptom: a key that never ran answers "outcome unknown" to its repeat.
   /// Sequence: the claim's write is slow, the call is given up, the write
   /// lands, the caller repeats.
   /// Cause: forgetting that the attempt in the row was given up here.
-  void GivenUpClaimIsTakenOver()
+  void AbandonedClaimIsReplaced()
   {
     random_engine random(1);
-    claim_board board;
+    claim_registry board;
     table store;
     Want(board, "k", "a1");
     const std::vector<claim_write> slow = TakeWrites(board, At(0));
     CPPUNIT_ASSERT(GiveUp(board, "a1", At(10)));
-    NoteWritten(board, write_outcome::Lost, {}, At(10), random);
+    RecordWriteOutcome(board, write_outcome::Lost, {}, At(10), random);
     store.Write(slow);
     Want(board, "k", "a2");
     const std::vector<std::string> conflicts =
       store.Write(TakeWrites(board, At(5000)));
-    NoteWritten(board, write_outcome::Conflict, conflicts, At(5000), random);
+    RecordWriteOutcome(
+      board, write_outcome::Conflict, conflicts, At(5000), random);
     TakeReads(board, At(5000));
-    NoteRead(board, store.mRows, At(5000), random);
+    RecordReadBack(board, store.mRows, At(5000), random);
     store.Write(TakeWrites(board, At(10000)));
-    NoteWritten(board, write_outcome::Committed, {}, At(10000), random);
-    CPPUNIT_ASSERT(BeginRun(board, "a2", At(10000)));
-    CPPUNIT_ASSERT(!BeginRun(board, "a1", At(10000)));
+    RecordWriteOutcome(board, write_outcome::Committed, {}, At(10000), random);
+    CPPUNIT_ASSERT(BeginExecution(board, "a2", At(10000)));
+    CPPUNIT_ASSERT(!BeginExecution(board, "a1", At(10000)));
   }
 
-  void WritesFollowTimeNotCalls()
+  void WritesAreBatchedOverTime()
   {
     random_engine random(1);
-    claim_board board;
+    claim_registry board;
     int writes = 0;
     for (int i = 0; i < 1000; ++i) {
       Want(board, "k" + std::to_string(i), "a" + std::to_string(i));
       const time_point now = At(0) + std::chrono::microseconds(100) * i;
       if (!TakeWrites(board, now).empty()) {
         ++writes;
-        NoteWritten(board, write_outcome::Committed, {}, now, random);
+        RecordWriteOutcome(board, write_outcome::Committed, {}, now, random);
       }
     }
     // A thousand calls in a tenth of a second: at most one in 20 ms.
@@ -332,7 +336,7 @@
 
   /// Whatever is lost, delayed, paused, restarted or given up: no key runs
   /// twice, and nothing runs whose caller was told that it did not.
-  void AnyHistoryRunsAKeyOnce()
+  void NoKeyRunsTwice()
   {
     const bool held = rc::check("claims", []() {
       system_under_test system;
--- a/Tests/Unit/SchedulerTest.cpp
+++ b/Tests/Unit/SchedulerTest.cpp
@@ -8,12 +8,12 @@
 
 constexpr time_point kStart{ std::chrono::hours(1) };
 
-agent_board
+agent_state
 Board(agent_limits aLimits = {})
 {
   engine_shape shape;
   shape.mCapacity = 400000;
-  return MakeAgentBoard("m", shape, aLimits, time_point{});
+  return MakeAgentState("m", shape, aLimits, time_point{});
 }
 
 reservation
@@ -40,22 +40,22 @@
 class scheduler_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(scheduler_test);
-  CPPUNIT_TEST(ReleaseGivesAllMemoryBack);
-  CPPUNIT_TEST(LapsedLeaseFreesAndCannotStart);
-  CPPUNIT_TEST(PausedHolderDoesNotStart);
-  CPPUNIT_TEST(LongPromptsLeaveRoomForShort);
-  CPPUNIT_TEST(ShortStreamDoesNotStarveLong);
-  CPPUNIT_TEST(GreedyOrganisationGetsItsShareOnly);
+  CPPUNIT_TEST(ReleaseFreesAllMemory);
+  CPPUNIT_TEST(ExpiredLeaseFreesMemoryAndBlocksStart);
+  CPPUNIT_TEST(ExpiredLeaseBlocksStartAfterPause);
+  CPPUNIT_TEST(LongPromptsLeaveMemoryForShort);
+  CPPUNIT_TEST(ShortRequestsDoNotStarveLongPrompt);
+  CPPUNIT_TEST(GreedyOrganisationGetsOnlyItsFairShare);
   CPPUNIT_TEST(WaitingRaisesPriority);
   CPPUNIT_TEST(DrainRefusesWaitingKeepsRunning);
-  CPPUNIT_TEST(RefusesWhatCannotMakeItsDeadline);
-  CPPUNIT_TEST(SameAttemptIsTakenOnce);
+  CPPUNIT_TEST(RefusesRequestThatWouldMissItsDeadline);
+  CPPUNIT_TEST(DuplicateAttemptIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ReleaseGivesAllMemoryBack()
+  void ReleaseFreesAllMemory()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     CPPUNIT_ASSERT(Reserve(board, Asked("a", 1000), kStart) == refusal::None);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Dispatch(board, kStart).size());
     CPPUNIT_ASSERT_EQUAL(tokens(1100), board.mUsed);
@@ -67,39 +67,39 @@
   /// Symptom: an engine's memory stays reserved for an entry that died.
   /// Sequence: a reservation is granted, its entry dies, nobody releases it.
   /// Cause: a reservation without an end of its own.
-  void LapsedLeaseFreesAndCannotStart()
+  void ExpiredLeaseFreesMemoryAndBlocksStart()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     Reserve(board, Asked("a", 1000), kStart);
     Dispatch(board, kStart);
     const time_point after = kStart + std::chrono::seconds(11);
-    const std::vector<expired_work> expired = Expire(board, after);
+    const std::vector<expired_reservation> expired = Expire(board, after);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), expired.size());
-    CPPUNIT_ASSERT(expired[0].mCause == expiry_cause::LeaseLapsed);
+    CPPUNIT_ASSERT(expired[0].mCause == expiry_cause::LeaseExpired);
     CPPUNIT_ASSERT_EQUAL(tokens(0), board.mUsed);
-    CPPUNIT_ASSERT(!StartReading(board, "a", after));
+    CPPUNIT_ASSERT(!StartPrefill(board, "a", after));
   }
 
   /// Symptom: a prompt runs although its reservation had lapsed.
   /// Sequence: granted; the process is paused past the lease; it resumes with
   /// the start before any timer has run.
   /// Cause: trusting the state from before the pause.
-  void PausedHolderDoesNotStart()
+  void ExpiredLeaseBlocksStartAfterPause()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     Reserve(board, Asked("a", 1000), kStart);
     Dispatch(board, kStart);
     const time_point resumed = kStart + std::chrono::minutes(1);
-    CPPUNIT_ASSERT(!StartReading(board, "a", resumed));
+    CPPUNIT_ASSERT(!StartPrefill(board, "a", resumed));
     CPPUNIT_ASSERT(!Renew(board, "a", resumed));
   }
 
   /// Symptom: the first token of short prompts takes seconds.
   /// Sequence: long prompts fill an engine's memory; a short one comes.
   /// Cause: memory given to whoever comes first.
-  void LongPromptsLeaveRoomForShort()
+  void LongPromptsLeaveMemoryForShort()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     for (int i = 0; i < 8; ++i) {
       Reserve(board, Asked("long" + std::to_string(i), 60000), kStart);
     }
@@ -115,11 +115,11 @@
   /// Sequence: short work fills the memory; a long prompt waits; each short
   /// one that ends is followed by another.
   /// Cause: freed memory always given to the one that fits.
-  void ShortStreamDoesNotStarveLong()
+  void ShortRequestsDoNotStarveLongPrompt()
   {
     agent_limits limits;
-    limits.mReadAheadSeconds = 1e9;
-    agent_board board = Board(limits);
+    limits.mEngineQueueSeconds = 1e9;
+    agent_state board = Board(limits);
     int next = 0;
     const auto addShort = [&]() {
       Reserve(board, Asked("s" + std::to_string(next++), 9900), kStart);
@@ -143,11 +143,11 @@
     CPPUNIT_ASSERT(granted);
   }
 
-  void GreedyOrganisationGetsItsShareOnly()
+  void GreedyOrganisationGetsOnlyItsFairShare()
   {
     agent_limits limits;
-    limits.mReadAheadSeconds = 0;
-    agent_board board = Board(limits);
+    limits.mEngineQueueSeconds = 0;
+    agent_state board = Board(limits);
     for (int i = 0; i < 60; ++i) {
       Reserve(board, Asked("g" + std::to_string(i), 1000, "greedy"), kStart);
     }
@@ -167,8 +167,8 @@
   void WaitingRaisesPriority()
   {
     agent_limits limits;
-    limits.mReadAheadSeconds = 0;
-    agent_board board = Board(limits);
+    limits.mEngineQueueSeconds = 0;
+    agent_state board = Board(limits);
     reservation patient = Asked("patient", 1000);
     patient.mShape.mPriority = 2;
     Reserve(board, patient, kStart);
@@ -182,30 +182,30 @@
 
   void DrainRefusesWaitingKeepsRunning()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     Reserve(board, Asked("runs", 300000), kStart);
     Dispatch(board, kStart);
     Reserve(board, Asked("waits", 300000), kStart);
     const std::vector<std::string> refused = StartDrain(board);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), refused.size());
     CPPUNIT_ASSERT(board.mWork.contains("runs"));
-    CPPUNIT_ASSERT(StartReading(board, "runs", kStart));
+    CPPUNIT_ASSERT(StartPrefill(board, "runs", kStart));
     CPPUNIT_ASSERT(Reserve(board, Asked("new", 10), kStart) ==
                    refusal::Leaving);
   }
 
-  void RefusesWhatCannotMakeItsDeadline()
+  void RefusesRequestThatWouldMissItsDeadline()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     reservation hurried = Asked("a", 200000);
     hurried.mDeadline = kStart + std::chrono::seconds(1);
     CPPUNIT_ASSERT(Reserve(board, hurried, kStart) == refusal::TooLate);
     CPPUNIT_ASSERT(board.mWork.empty());
   }
 
-  void SameAttemptIsTakenOnce()
+  void DuplicateAttemptIsRefused()
   {
-    agent_board board = Board();
+    agent_state board = Board();
     Reserve(board, Asked("a", 10), kStart);
     CPPUNIT_ASSERT(Reserve(board, Asked("a", 10), kStart) ==
                    refusal::Duplicate);
--- a/Tests/Unit/WorldTest.cpp
+++ b/Tests/Unit/WorldTest.cpp
@@ -27,7 +27,7 @@
 {
   bench_policy own;
   own.mName = "primrose";
-  own.mRules.mFrontSlack = 0.25;
+  own.mRules.mLongPoolSlack = 0.25;
   return own;
 }
 
--- a/Utilities/Bench/Costs.cpp
+++ b/Utilities/Bench/Costs.cpp
@@ -24,15 +24,15 @@
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-work_shape
+request_shape
 Shape(tokens aPrompt)
 {
-  work_shape shape;
+  request_shape shape;
   shape.mModel = "model";
   shape.mOrganisation = "organisation";
   shape.mPromptTokens = aPrompt;
   shape.mMaxTokens = 200;
-  shape.mMarks = { 1, 2, 3 };
+  shape.mPrefixHashes = { 1, 2, 3 };
   return shape;
 }
 
@@ -49,15 +49,15 @@
   return asked;
 }
 
-agent_board
+agent_state
 BoardWith(int aWork)
 {
   engine_shape shape;
   shape.mCapacity = 100000000;
   shape.mLargestBatch = 100000;
   agent_limits limits;
-  limits.mLongestQueue = 100000;
-  agent_board board = MakeAgentBoard("model", shape, limits, time_point{});
+  limits.mMaxQueueLength = 100000;
+  agent_state board = MakeAgentState("model", shape, limits, time_point{});
   for (int i = 0; i < aWork; ++i) {
     Reserve(board, Asked(i), kStart);
   }
@@ -106,8 +106,8 @@
 void
 ProbeAgainstWork(benchmark::State& aState)
 {
-  agent_board board = BoardWith(static_cast<int>(aState.range(0)));
-  const work_shape shape = Shape(3000);
+  agent_state board = BoardWith(static_cast<int>(aState.range(0)));
+  const request_shape shape = Shape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(Probe(board, shape, kStart));
   }
@@ -120,7 +120,7 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    agent_board board = BoardWith(static_cast<int>(aState.range(0)));
+    agent_state board = BoardWith(static_cast<int>(aState.range(0)));
     aState.ResumeTiming();
     benchmark::DoNotOptimize(Dispatch(board, kStart));
   }
@@ -138,7 +138,7 @@
   double bytes = 0;
   for (auto _ : aState) {
     const double before = HeapBytes();
-    const agent_board board = BoardWith(count);
+    const agent_state board = BoardWith(count);
     bytes = HeapBytes() - before;
     benchmark::DoNotOptimize(&board);
   }
@@ -186,12 +186,12 @@
     names.push_back(one.mName);
   }
   random_engine random(1);
-  const work_shape shape = Shape(3000);
-  const placement_memory memory;
+  const request_shape shape = Shape(3000);
+  const placement_state memory;
   const placement_rules rules;
   for (auto _ : aState) {
     benchmark::DoNotOptimize(
-      ChooseToProbe(names, shape, rules, memory, 1, random));
+      ChooseProbeTargets(names, shape, rules, memory, 1, random));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -212,7 +212,7 @@
     one.mAnswer.mFirstTokenSeconds = static_cast<double>(i * 7919 % 100);
     candidates.push_back(one);
   }
-  const work_shape shape = Shape(3000);
+  const request_shape shape = Shape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(RankCandidates(
       candidates, shape, placement_rules{}, engine_shape{}, false));
@@ -263,7 +263,7 @@
 void
 AdmitAgainstOrganisations(benchmark::State& aState)
 {
-  std::map<std::string, organisation_use> uses;
+  std::map<std::string, organisation_usage> uses;
   const double before = HeapBytes();
   for (std::int64_t i = 0; i < aState.range(0); ++i) {
     uses[fmt::format("organisation-{:04}", i)] = {};
@@ -272,9 +272,9 @@
     (HeapBytes() - before) / static_cast<double>(aState.range(0));
   const organisation_limits limits{ 1e9, 1e12, 0.01 };
   for (auto _ : aState) {
-    organisation_use& use = uses["organisation-0003"];
+    organisation_usage& use = uses["organisation-0003"];
     benchmark::DoNotOptimize(Admit(use, limits, 100, kStart));
-    EndAdmission(use, 100);
+    ReleaseAdmittedTokens(use, 100);
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -289,7 +289,7 @@
 {
   const std::string prompt(static_cast<std::size_t>(aState.range(0)) * 4, 'a');
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(PromptMarks(prompt));
+    benchmark::DoNotOptimize(PrefixHashes(prompt));
   }
   aState.SetComplexityN(aState.range(0));
 }
@@ -330,15 +330,15 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    claim_board board;
+    claim_registry board;
     for (std::int64_t i = 0; i < aState.range(0); ++i) {
-      WantClaim(board,
-                fmt::format("key-{}", i),
-                fmt::format("attempt-{}", i),
-                1,
-                kStart + std::chrono::hours(1),
-                kStart,
-                wall_time{});
+      QueueClaim(board,
+                 fmt::format("key-{}", i),
+                 fmt::format("attempt-{}", i),
+                 1,
+                 kStart + std::chrono::hours(1),
+                 kStart,
+                 wall_time{});
     }
     aState.ResumeTiming();
     benchmark::DoNotOptimize(TakeWrites(board, kStart));
--- a/Utilities/Bench/Experiment.cpp
+++ b/Utilities/Bench/Experiment.cpp
@@ -23,13 +23,13 @@
   baseline.mName = aName;
   baseline.mPlacement = aKind;
   baseline.mEnginePriorities = false;
-  baseline.mRules.mLongPart = kUnbounded;
+  baseline.mRules.mMaxLongPartTokens = kUnbounded;
   baseline.mLimits.mLongTokensAtOnce = kUnbounded;
-  baseline.mLimits.mLongestQueue = 1000000;
-  baseline.mLimits.mReadAheadSeconds = 1e9;
+  baseline.mLimits.mMaxQueueLength = 1000000;
+  baseline.mLimits.mEngineQueueSeconds = 1e9;
   baseline.mLimits.mLongMemoryPart = 1;
-  baseline.mLimits.mFairShares = false;
-  baseline.mLimits.mPriorities = false;
+  baseline.mLimits.mUseFairShares = false;
+  baseline.mLimits.mUsePriorities = false;
   return baseline;
 }
 
@@ -51,12 +51,12 @@
     // The best baseline with our cutting of long prompts, to tell the two
     // apart.
     bench_policy cutting = Baseline(aName, placement_kind::ShortestQueue);
-    cutting.mRules = RulesOf(aValues);
+    cutting.mRules = PlacementRulesFor(aValues);
     return cutting;
   }
   bench_policy own;
   own.mName = aName;
-  own.mRules = RulesOf(aValues);
+  own.mRules = PlacementRulesFor(aValues);
   own.mLimits = LimitsOf(aValues);
   own.mAttempts = static_cast<unsigned>(aValues.mAttempts);
   own.mLongAttempts = static_cast<unsigned>(aValues.mLongAttempts);
@@ -65,7 +65,7 @@
     return own;
   }
   if (aName == "primrose-no-packing") {
-    own.mRules.mFrontSlack = 0;
+    own.mRules.mLongPoolSlack = 0;
     return own;
   }
   if (aName == "primrose-no-priorities") {
@@ -73,12 +73,12 @@
     return own;
   }
   if (aName == "primrose-no-cache") {
-    own.mRules.mUseCache = false;
+    own.mRules.mUsePrefixAffinity = false;
     return own;
   }
   if (aName == "primrose-no-parts") {
     own.mRules.mLongSpread = 1;
-    own.mRules.mLongPart = kUnbounded;
+    own.mRules.mMaxLongPartTokens = kUnbounded;
     return own;
   }
   return Fail(error_kind::SettingsInvalid,
@@ -359,7 +359,7 @@
     return Fail(error_kind::SettingsInvalid, treeFile + ": has no model");
   }
   const model_settings& model = tree.Models().begin()->second;
-  read.mWorld.mEngine = ShapeOf(model);
+  read.mWorld.mEngine = EngineShapeFor(model);
   const policy values = tree.Resolve({});
   read.mLongPrompt = static_cast<tokens>(values.mLongPromptTokens);
   read.mWorld.mQueueWaitSeconds = values.mQueueWaitSeconds;
--- a/Utilities/Bench/Mix.cpp
+++ b/Utilities/Bench/Mix.cpp
@@ -45,10 +45,10 @@
 {
   const bool shares = Uniform(aRandom) < aMix.mSharedPrefixPart;
   const std::uint64_t prefix = Below(aRandom, kPrefixes);
-  const tokens shared = shares ? kFirstMarkTokens << Below(aRandom, 3) : 0;
+  const tokens shared = shares ? kMinPrefixTokens << Below(aRandom, 3) : 0;
   std::vector<std::uint64_t> marks;
-  for (std::size_t i = 0; MarkLength(i) <= aPrompt; ++i) {
-    const bool same = MarkLength(i) <= shared;
+  for (std::size_t i = 0; PrefixLength(i) <= aPrompt; ++i) {
+    const bool same = PrefixLength(i) <= shared;
     marks.push_back(Hash(
       fmt::format("{}/{}/{}", same ? "p" : "r", same ? prefix : aNumber, i)));
   }
@@ -66,7 +66,7 @@
 } // namespace
 
 double
-NominalCost(const work_shape& aShape,
+NominalCost(const request_shape& aShape,
             tokens aOutput,
             const engine_shape& aEngine)
 {
@@ -78,7 +78,7 @@
 }
 
 double
-NominalMemory(const work_shape& aShape,
+NominalMemory(const request_shape& aShape,
               tokens aOutput,
               const engine_shape& aEngine)
 {
@@ -86,7 +86,7 @@
   const double fullStep = StepSeconds(aEngine, 1, aEngine.mChunk, 0);
   const double steps = static_cast<double>(aShape.mPromptTokens) / chunk +
                        static_cast<double>(aOutput);
-  return static_cast<double>(aShape.Need()) * steps * fullStep;
+  return static_cast<double>(aShape.MemoryTokens()) * steps * fullStep;
 }
 
 double
@@ -98,7 +98,7 @@
   double cost = 0;
   double memory = 0;
   for (const length_class& one : aMix.mClasses) {
-    work_shape mean;
+    request_shape mean;
     mean.mPromptTokens = static_cast<tokens>(MeanPrompt(one));
     mean.mMaxTokens = static_cast<tokens>(kMostOutputFactor * one.mMeanOutput);
     const tokens output = static_cast<tokens>(one.mMeanOutput);
@@ -133,7 +133,7 @@
     next.mClass = Pick(aMix.mClasses, random);
     next.mOrganisation = Pick(aMix.mOrganisations, random);
     const length_class& one = aMix.mClasses[next.mClass];
-    work_shape& shape = next.mShape;
+    request_shape& shape = next.mShape;
     shape.mModel = "model";
     shape.mOrganisation = aMix.mOrganisations[next.mOrganisation].mName;
     shape.mPromptTokens =
@@ -145,7 +145,7 @@
     shape.mMaxTokens = static_cast<tokens>(kMostOutputFactor * one.mMeanOutput);
     shape.mPriority = one.mPriority;
     shape.mLong = shape.mPromptTokens >= aLongPrompt;
-    shape.mMarks =
+    shape.mPrefixHashes =
       DrawMarks(aMix, shape.mPromptTokens, arrivals.size(), random);
     next.mDeadline = now + FromSeconds(one.mTimeLimitSeconds);
     arrivals.push_back(std::move(next));
--- a/Utilities/Bench/Mix.h
+++ b/Utilities/Bench/Mix.h
@@ -47,7 +47,7 @@
   time_point mAt;
   std::size_t mClass = 0;
   std::size_t mOrganisation = 0;
-  work_shape mShape;
+  request_shape mShape;
   tokens mOutput = 0;
   time_point mDeadline;
 
@@ -57,13 +57,13 @@
 /// Engine-seconds that a request costs when its engine always reads whole
 /// chunks; the unit in which load is stated.
 double
-NominalCost(const work_shape& aShape,
+NominalCost(const request_shape& aShape,
             tokens aOutput,
             const engine_shape& aEngine);
 
 /// Token-seconds of memory that a request holds on a busy engine.
 double
-NominalMemory(const work_shape& aShape,
+NominalMemory(const request_shape& aShape,
               tokens aOutput,
               const engine_shape& aEngine);
 
--- a/Utilities/Bench/World.cpp
+++ b/Utilities/Bench/World.cpp
@@ -12,7 +12,7 @@
 struct site
 {
   engine_model mEngine;
-  agent_board mBoard;
+  agent_state mBoard;
   std::optional<time_point> mWake; ///< The step event that is scheduled.
   bool mExpirySet = false;
   bool mDown = false;
@@ -104,7 +104,7 @@
   std::priority_queue<scheduled, std::vector<scheduled>, later> mQueue;
   std::vector<site> mSites;
   std::vector<std::string> mNames;
-  std::vector<placement_memory> mMemories;
+  std::vector<placement_state> mMemories;
   std::vector<std::size_t> mTurns;
   std::vector<std::vector<std::size_t>> mOutstanding;
   std::vector<flight> mFlights;
@@ -134,14 +134,14 @@
   for (std::size_t i = 0; i < mSites.size(); ++i) {
     mSites[i].mEngine = MakeEngine(aSettings.mEngine);
     // A warmed up fleet: slow start is over.
-    mSites[i].mBoard = MakeAgentBoard("model",
+    mSites[i].mBoard = MakeAgentState("model",
                                       aSettings.mEngine,
                                       aPolicy.mLimits,
                                       mNow - std::chrono::hours(1));
     mNames.push_back(fmt::format("engine-{}", i));
   }
-  for (placement_memory& memory : mMemories) {
-    memory.mLongFront = 1;
+  for (placement_state& memory : mMemories) {
+    memory.mLongPoolSize = 1;
   }
   for (std::size_t i = 0; i < mTurns.size(); ++i) {
     mTurns[i] = Below(mRandom, aSettings.mEngines);
@@ -314,12 +314,12 @@
       rules.mProbes, static_cast<unsigned>(aFlight.mGroup) * kProbesPerMember);
   }
   const std::vector<std::size_t> asked =
-    ChooseToProbe(mNames,
-                  aFlight.mArrival->mShape,
-                  rules,
-                  mMemories[aFlight.mEntry],
-                  aFlight.mGroup,
-                  mRandom);
+    ChooseProbeTargets(mNames,
+                       aFlight.mArrival->mShape,
+                       rules,
+                       mMemories[aFlight.mEntry],
+                       aFlight.mGroup,
+                       mRandom);
   mResult.mProbes += asked.size();
   const unsigned attempt = aFlight.mAttempts;
   At(mNow + mSettings.mOneWay,
@@ -336,7 +336,7 @@
   if (aFlight.mOver) {
     return;
   }
-  const work_shape shape =
+  const request_shape shape =
     MemberShape(aFlight.mArrival->mShape, aFlight.mGroup, hold_role::Lead);
   std::vector<candidate> candidates;
   for (const std::size_t one : aAsked) {
@@ -346,19 +346,19 @@
       candidates.push_back({ one, Probe(mSites[one].mBoard, shape, mNow) });
     }
   }
-  LearnFront(mMemories[aFlight.mEntry],
-             candidates,
-             shape,
-             mPolicy.mRules,
-             mSettings.mEngine,
-             aFlight.mGroup,
-             mNames.size());
+  UpdateLongPoolSize(mMemories[aFlight.mEntry],
+                     candidates,
+                     shape,
+                     mPolicy.mRules,
+                     mSettings.mEngine,
+                     aFlight.mGroup,
+                     mNames.size());
   aFlight.mRanked = RankCandidates(
     candidates,
     shape,
     mPolicy.mRules,
     mSettings.mEngine,
-    PacksLong(mPolicy.mRules, mMemories[aFlight.mEntry], mNames.size()));
+    PacksLongPrompts(mPolicy.mRules, mMemories[aFlight.mEntry], mNames.size()));
   if (aFlight.mRanked.size() < aFlight.mGroup) {
     Refused(aFlight, refusal::NoRoom);
     return;
@@ -444,7 +444,7 @@
     return;
   }
   const duration pause =
-    RetryPause(aFlight.mAttempts, std::chrono::milliseconds(50), mRandom);
+    RetryBackoff(aFlight.mAttempts, std::chrono::milliseconds(50), mRandom);
   Later(aFlight, pause, &world::Place);
 }
 
@@ -478,7 +478,7 @@
   const double parts = static_cast<double>(aFlight.mGroup);
   for (std::size_t i = 0; i < aFlight.mSites.size(); ++i) {
     site& one = mSites[aFlight.mSites[i]];
-    if (!StartReading(one.mBoard, aFlight.mAttempt, mNow)) {
+    if (!StartPrefill(one.mBoard, aFlight.mAttempt, mNow)) {
       Refused(aFlight, refusal::Cancelled);
       return;
     }
@@ -487,10 +487,10 @@
     job.mPromptTokens = own.mShape.mPromptTokens;
     job.mOutputTokens = own.mOutput;
     job.mReserveTokens =
-      one.mBoard.mWork.at(aFlight.mAttempt).mReservation.mShape.Need();
-    job.mMarks =
-      aFlight.mGroup > 1 ? std::vector<std::uint64_t>() : own.mShape.mMarks;
-    job.mReadingPart = 1 / (1 + kGroupEfficiency * (parts - 1));
+      one.mBoard.mWork.at(aFlight.mAttempt).mReservation.mShape.MemoryTokens();
+    job.mPrefixHashes = aFlight.mGroup > 1 ? std::vector<std::uint64_t>()
+                                           : own.mShape.mPrefixHashes;
+    job.mPrefillPart = 1 / (1 + kGroupEfficiency * (parts - 1));
     job.mGroupPart = aFlight.mGroup > 1;
     constexpr unsigned kLongStep = 4;
     job.mPriority =
@@ -535,14 +535,14 @@
   if (own.mOver || own.mAttempt != aOutput.mId) {
     return;
   }
-  if (aOutput.mPartRead) {
-    NoteFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
+  if (aOutput.mPartPrefilled) {
+    RecordFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
     PartRead(own);
     return;
   }
   request_record& record = mResult.mRequests[own.mIndex];
   if (aOutput.mIndex == 0) {
-    NoteFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
+    RecordFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
     record.mFirstToken = Seconds(mNow + mSettings.mOneWay - own.mArrival->mAt);
   }
   if (aOutput.mLast) {
@@ -558,7 +558,7 @@
     return;
   }
   const std::size_t lead = aFlight.mSites.front();
-  BeginWriting(mSites[lead].mEngine, aFlight.mAttempt, mNow);
+  BeginDecoding(mSites[lead].mEngine, aFlight.mAttempt, mNow);
   Wake(lead);
 }
 
@@ -610,7 +610,7 @@
 {
   site& one = mSites[aSite];
   one.mExpirySet = false;
-  for (const expired_work& item : Expire(one.mBoard, mNow)) {
+  for (const expired_reservation& item : Expire(one.mBoard, mNow)) {
     flight& own = mFlights[mByAttempt.at(item.mAttempt)];
     if (!own.mOver && own.mAttempt == item.mAttempt) {
       Refused(own, refusal::NoRoom);
@@ -626,10 +626,11 @@
 {
   for (std::size_t i = 0; i < mSites.size(); ++i) {
     const site& one = mSites[i];
-    double unread = UnreadByEngine(one.mEngine);
+    double unread = PendingPrefillTokens(one.mEngine);
     std::size_t running = one.mEngine.mJobs.size();
     for (const auto& [attempt, work] : one.mBoard.mWork) {
-      if (work.mStage == stage::Waiting || work.mStage == stage::Granted) {
+      if (work.mStage == reservation_stage::Waiting ||
+          work.mStage == reservation_stage::Granted) {
         unread += static_cast<double>(work.mReservation.mShape.mPromptTokens);
         ++running;
       }
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -170,7 +170,7 @@
 ListVm(control_context& aContext)
 {
   const std::vector<std::string>& words = aContext.mArguments;
-  const std::optional<vm_kind> kind = VmKindNamed(words[1]);
+  const std::optional<vm_kind> kind = ParseVmKind(words[1]);
   if (!kind) {
     return Fail(error_kind::SettingsInvalid,
                 "expected engine, service or entry, found \"" + words[1] +
--- a/Utilities/StandIn/EngineFace.cpp
+++ b/Utilities/StandIn/EngineFace.cpp
@@ -40,14 +40,14 @@
   tokens mSent = 0;
   bool mCut = false;
   tokens mOutput = 0;
-  std::vector<std::uint64_t> mMarks;
+  std::vector<std::uint64_t> mPrefixHashes;
 };
 
 struct cache_event
 {
   std::uint64_t mNumber = 0;
   time_point mVisible;
-  std::vector<std::uint64_t> mMarks;
+  std::vector<std::uint64_t> mPrefixHashes;
 };
 
 struct order_state
@@ -62,7 +62,7 @@
   engine_face(const clock_source& aClock, const model_settings& aModel)
     : mClock(aClock)
     , mModel(aModel.mName)
-    , mEngine(MakeEngine(ShapeOf(aModel)))
+    , mEngine(MakeEngine(EngineShapeFor(aModel)))
   {
   }
   ~engine_face() override { StopTimer(); }
@@ -101,7 +101,8 @@
   void FaultsChanged() override
   {
     constexpr double kPercent = 100;
-    mEngine.mSlowFactor = static_cast<double>(mFaults.mStepPercent) / kPercent;
+    mEngine.mStepTimeFactor =
+      static_cast<double>(mFaults.mStepPercent) / kPercent;
   }
 
 private:
@@ -125,9 +126,9 @@
     job.mOutputTokens = static_cast<tokens>(output);
     job.mReserveTokens =
       (job.mPromptTokens + members) / (members + 1) + job.mOutputTokens;
-    job.mMarks = PromptMarks(prompt);
+    job.mPrefixHashes = PrefixHashes(prompt);
     job.mPriority = static_cast<unsigned>(priority);
-    job.mReadingPart = 1 / (1 + kGroupEfficiency * (parts - 1));
+    job.mPrefillPart = 1 / (1 + kGroupEfficiency * (parts - 1));
     if (!Submit(mEngine, job, mClock.Now())) {
       return Fail(error_kind::PromptTooLong,
                   "larger than the engine's memory, or a known id");
@@ -135,7 +136,7 @@
     stream_state stream;
     stream.mPromptHash = Hash(prompt);
     stream.mOutput = job.mOutputTokens;
-    stream.mMarks = job.mMarks;
+    stream.mPrefixHashes = job.mPrefixHashes;
     stream.mReader = aExchange;
     if (mFaults.mCutStreams > 0) {
       --mFaults.mCutStreams;
@@ -248,7 +249,7 @@
     json shown = { { "running", mEngine.mJobs.size() },
                    { "used_tokens", mEngine.mUsed },
                    { "capacity_tokens", mEngine.mShape.mCapacity },
-                   { "unread_tokens", UnreadByEngine(mEngine) },
+                   { "unread_tokens", PendingPrefillTokens(mEngine) },
                    { "steps", mEngine.mSteps } };
     mLoads.push_back({ now, shown });
     while (mLoads.size() > 1 && now - mLoads[1].first >= kLoadLag) {
@@ -267,7 +268,7 @@
       if (static_cast<double>(event.mNumber) > after &&
           event.mVisible <= mClock.Now()) {
         rows.push_back(
-          { { "number", event.mNumber }, { "cached", event.mMarks } });
+          { { "number", event.mNumber }, { "cached", event.mPrefixHashes } });
       }
     }
     AnswerJson(aExchange, { { "events", rows } });
@@ -360,7 +361,7 @@
       stream.mDoneAt = aNow;
     }
     if (aOutput.mIndex == 0) {
-      Publish(stream.mMarks, aNow);
+      Publish(stream.mPrefixHashes, aNow);
     }
     SendNew(stream);
   }
