--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -1,8 +1,8 @@
 #include "LibFleet/EnginePlacement.h"
 
+#include "LibFleet/PlacementAdmission.h"
+#include "LibFleet/PlacementCosts.h"
 #include "LibFleet/PlacementDivision.h"
-#include "LibFleet/PlacementPrices.h"
-#include "LibFleet/PlacementVerdict.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/EnginePlacement.h
+++ b/Libraries/LibFleet/EnginePlacement.h
@@ -12,8 +12,8 @@
 /// where they must meet, few streams are harmed much rather than many a little.
 
 #include "LibFleet/Endpoints.h"
-#include "LibFleet/EngineCost.h"
 #include "LibFleet/EngineLedger.h"
+#include "LibFleet/EngineTiming.h"
 
 namespace primrose {
 
--- a/Libraries/LibFleet/EngineCost.cpp
+++ b/Libraries/LibFleet/EngineTiming.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/EngineCost.h"
+#include "LibFleet/EngineTiming.h"
 
 namespace primrose {
 
--- a/Libraries/LibFleet/LibFleet.h
+++ b/Libraries/LibFleet/LibFleet.h
@@ -7,10 +7,10 @@
 
 #include "LibFleet/EndpointLimits.h"
 #include "LibFleet/Endpoints.h"
-#include "LibFleet/EngineCost.h"
 #include "LibFleet/EngineLedger.h"
 #include "LibFleet/EnginePlacement.h"
 #include "LibFleet/EngineSubset.h"
+#include "LibFleet/EngineTiming.h"
 #include "LibFleet/Manifest.h"
 #include "LibFleet/PeerSendBudget.h"
 #include "LibFleet/Quarantine.h"
--- a/Libraries/LibFleet/Manifest.h
+++ b/Libraries/LibFleet/Manifest.h
@@ -3,7 +3,7 @@
 /// The settings in force, as the operator accepted them: routes, services,
 /// organisations' keys, limits. Immutable; a new version replaces the whole.
 
-#include "LibFleet/EngineCost.h"
+#include "LibFleet/EngineTiming.h"
 
 #include <memory>
 #include <optional>
--- a/Libraries/LibFleet/PlacementVerdict.cpp
+++ b/Libraries/LibFleet/PlacementAdmission.cpp
@@ -1,6 +1,6 @@
-#include "LibFleet/PlacementVerdict.h"
+#include "LibFleet/PlacementAdmission.h"
 
-#include "LibFleet/PlacementPrices.h"
+#include "LibFleet/PlacementCosts.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/PlacementPrices.cpp
+++ b/Libraries/LibFleet/PlacementCosts.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/PlacementPrices.h"
+#include "LibFleet/PlacementCosts.h"
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/PlacementDivision.cpp
+++ b/Libraries/LibFleet/PlacementDivision.cpp
@@ -1,6 +1,6 @@
 #include "LibFleet/PlacementDivision.h"
 
-#include "LibFleet/PlacementPrices.h"
+#include "LibFleet/PlacementCosts.h"
 
 #include <algorithm>
 #include <map>
--- a/Utilities/Bench/SampleEngine.h
+++ b/Utilities/Bench/SampleEngine.h
@@ -3,7 +3,7 @@
 /// An engine as the users' deployments declare theirs, for tests and
 /// measurements of placement.
 
-#include "LibFleet/EngineCost.h"
+#include "LibFleet/EngineTiming.h"
 
 namespace primrose {
 
