--- a/Libraries/LibFleet/Endpoints.cpp
+++ b/Libraries/LibFleet/Endpoints.cpp
@@ -35,10 +35,10 @@
 void
 Strike(endpoint_health& aHealth, time_point aNow)
 {
-  const unsigned doublings = std::min(aHealth.mStrikes, kMostDoublings);
+  const unsigned doublings = std::min(aHealth.mBackoffFailures, kMostDoublings);
   const duration pause =
     std::min(kFirstPause * (1U << doublings), kLongestPause);
-  ++aHealth.mStrikes;
+  ++aHealth.mBackoffFailures;
   aHealth.mAvoidUntil = aNow + pause;
 }
 
@@ -47,12 +47,12 @@
 bool
 IsThird(endpoint_health& aHealth, time_point aNow)
 {
-  if (aNow - aHealth.mLastTrouble < kOneEvent) {
+  if (aNow - aHealth.mLastFailureAt < kOneEvent) {
     return false;
   }
-  const bool third = aNow - aHealth.mTroubleBefore < kTroubleSpan;
-  aHealth.mTroubleBefore = aHealth.mLastTrouble;
-  aHealth.mLastTrouble = aNow;
+  const bool third = aNow - aHealth.mPreviousFailureAt < kTroubleSpan;
+  aHealth.mPreviousFailureAt = aHealth.mLastFailureAt;
+  aHealth.mLastFailureAt = aNow;
   return third;
 }
 
@@ -62,7 +62,7 @@
 /// Forgets the older half of the removals when there are too many: a reading
 /// that is so stale that it still shows one of them is not met any more.
 void
-ForgetOldRemovals(endpoint_board& aBoard)
+ForgetOldRemovals(endpoint_registry& aBoard)
 {
   if (aBoard.mGone.size() <= kMostGone) {
     return;
@@ -81,24 +81,25 @@
 
 } // namespace
 
-listing
-ApplyRow(endpoint_board& aBoard, const row_change<endpoint>& aChange)
+membership_change
+ApplyRow(endpoint_registry& aBoard, const row_change<endpoint>& aChange)
 {
   aBoard.mNewestRevision = std::max(aBoard.mNewestRevision, aChange.mRevision);
   const auto gone = aBoard.mGone.find(aChange.mKey);
   if (gone != aBoard.mGone.end() && gone->second >= aChange.mRevision) {
-    return listing::Unchanged;
+    return membership_change::Unchanged;
   }
   const auto held = aBoard.mEndpoints.find(aChange.mKey);
   if (held != aBoard.mEndpoints.end() &&
       held->second.mRevision >= aChange.mRevision) {
-    return listing::Unchanged;
+    return membership_change::Unchanged;
   }
   if (!aChange.mValue.has_value()) {
     aBoard.mGone[aChange.mKey] = aChange.mRevision;
     ForgetOldRemovals(aBoard);
-    return aBoard.mEndpoints.erase(aChange.mKey) != 0 ? listing::Left
-                                                      : listing::Unchanged;
+    return aBoard.mEndpoints.erase(aChange.mKey) != 0
+             ? membership_change::Left
+             : membership_change::Unchanged;
   }
   aBoard.mGone.erase(aChange.mKey);
   if (held == aBoard.mEndpoints.end()) {
@@ -106,19 +107,19 @@
     added.mListed = *aChange.mValue;
     added.mRevision = aChange.mRevision;
     aBoard.mEndpoints.emplace(aChange.mKey, std::move(added));
-    return listing::Joined;
+    return membership_change::Joined;
   }
   const bool wasLeaving = held->second.mListed.mLeaving;
   held->second.mListed = *aChange.mValue;
   held->second.mRevision = aChange.mRevision;
-  return !wasLeaving && aChange.mValue->mLeaving ? listing::Leaving
-                                                 : listing::Changed;
+  return !wasLeaving && aChange.mValue->mLeaving ? membership_change::Leaving
+                                                 : membership_change::Changed;
 }
 
 std::vector<std::string>
-ApplyWholeList(endpoint_board& aBoard,
-               const std::vector<row_change<endpoint>>& aRows,
-               std::uint64_t aRevision)
+ApplySnapshot(endpoint_registry& aBoard,
+              const std::vector<row_change<endpoint>>& aRows,
+              std::uint64_t aRevision)
 {
   std::unordered_map<std::string, bool> listed;
   for (const row_change<endpoint>& row : aRows) {
@@ -141,39 +142,42 @@
 }
 
 void
-NoteSign(endpoint_health& aHealth, endpoint_sign aSign, time_point aNow)
+RecordHealthEvent(endpoint_health& aHealth,
+                  endpoint_health_event aSign,
+                  time_point aNow)
 {
-  const bool bad = aSign != endpoint_sign::Answered;
+  const bool bad = aSign != endpoint_health_event::Answered;
   aHealth.mFailures =
     aHealth.mFailures * (1 - kFailureWeight) + (bad ? kFailureWeight : 0);
   switch (aSign) {
-    case endpoint_sign::Answered:
-      aHealth.mStrikes = 0;
+    case endpoint_health_event::Answered:
+      aHealth.mBackoffFailures = 0;
       return;
-    case endpoint_sign::Broke:
+    case endpoint_health_event::ConnectionBroken:
       if (IsThird(aHealth, aNow) || aHealth.mFailures > kFailingShare) {
         Strike(aHealth, aNow);
       }
       return;
-    case endpoint_sign::Failed:
+    case endpoint_health_event::Failed:
       if (aHealth.mFailures > kFailingShare) {
         Strike(aHealth, aNow);
       }
       return;
-    case endpoint_sign::Unreachable:
-    case endpoint_sign::Silent:
-    case endpoint_sign::Elsewhere:
+    case endpoint_health_event::Unreachable:
+    case endpoint_health_event::Silent:
+    case endpoint_health_event::AddressReassigned:
       Strike(aHealth, aNow);
       return;
-    case endpoint_sign::Unwilling:
-      aHealth.mStrikes = std::max(aHealth.mStrikes, kUnwillingStrikes);
+    case endpoint_health_event::PrefillHelpRefused:
+      aHealth.mBackoffFailures =
+        std::max(aHealth.mBackoffFailures, kUnwillingStrikes);
       Strike(aHealth, aNow);
       return;
   }
 }
 
 void
-NoteTold(endpoint_health& aHealth, time_point aNow)
+RecordPeerFailureReport(endpoint_health& aHealth, time_point aNow)
 {
   if (IsThird(aHealth, aNow) && aHealth.mAvoidUntil <= aNow) {
     Strike(aHealth, aNow);
@@ -187,15 +191,15 @@
 }
 
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow)
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow)
 {
   return Usable(aEndpoint, aService) && Admits(aEndpoint.mLimit, aNow);
 }
 
 std::optional<duration>
-TimeUntilAdmissible(const endpoint_board& aBoard,
+TimeUntilAdmissible(const endpoint_registry& aBoard,
                     std::string_view aService,
                     const std::vector<std::string>& aTried,
                     time_point aNow)
@@ -212,13 +216,13 @@
 }
 
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow)
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow)
 {
   return aEndpoint.mHealth.mAvoidUntil > aNow;
 }
 
 known_endpoint*
-ChoosePlainEndpoint(endpoint_board& aBoard,
+ChoosePlainEndpoint(endpoint_registry& aBoard,
                     std::string_view aService,
                     std::string_view aDataCentre,
                     const std::vector<std::string>& aTried,
@@ -229,23 +233,23 @@
   {
     bool mAvoided = false;
     unsigned mOutstanding = 0;
-    bool mAway = false;
+    bool mInOtherDataCentre = false;
     std::uint64_t mDraw = 0;
     std::tuple<bool, unsigned, bool, std::uint64_t> Key() const
     {
-      return { mAvoided, mOutstanding, mAway, mDraw };
+      return { mAvoided, mOutstanding, mInOtherDataCentre, mDraw };
     }
   };
   constexpr double kDrawSteps = 1e6;
   known_endpoint* best = nullptr;
   rank bestRank;
   for (auto& [id, known] : aBoard.mEndpoints) {
-    if (!Admissible(known, aService, aNow) ||
+    if (!IsAdmissible(known, aService, aNow) ||
         std::find(aTried.begin(), aTried.end(), id) != aTried.end()) {
       continue;
     }
     const rank candidate{
-      Avoided(known, aNow),
+      IsAvoided(known, aNow),
       known.mOutstanding,
       known.mListed.mDataCentre != aDataCentre,
       Hash(id, static_cast<std::uint64_t>(aDraw * kDrawSteps))
--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -38,24 +38,25 @@
 };
 
 /// How an attempt at an endpoint ended, as far as the endpoint's health goes.
-enum class endpoint_sign : std::uint8_t
+enum class endpoint_health_event : std::uint8_t
 {
-  Answered,    ///< A proper answer, whatever its status.
-  Unreachable, ///< No connection in time.
-  Broke,       ///< The connection broke, or the bytes were no answer.
-  Silent,      ///< Nothing came for far longer than expected.
-  Failed,      ///< An answer that says that the endpoint failed.
-  Elsewhere,   ///< Another endpoint has the address now.
-  Unwilling,   ///< It refused to read a part of a prompt for another engine.
+  Answered,           ///< A proper answer, whatever its status.
+  Unreachable,        ///< No connection in time.
+  ConnectionBroken,   ///< The connection broke, or the bytes were no answer.
+  Silent,             ///< Nothing came for far longer than expected.
+  Failed,             ///< An answer that says that the endpoint failed.
+  AddressReassigned,  ///< Another endpoint has the address now.
+  PrefillHelpRefused, ///< It refused to read a part of a prompt for another
+                      ///< engine.
 };
 
 struct endpoint_health
 {
-  unsigned mStrikes = 0;     ///< Bad signs since the last good ones.
-  double mFailures = 0;      ///< Recent share of attempts that failed.
-  time_point mAvoidUntil{};  ///< Not chosen before, if there are others.
-  time_point mLastTrouble{}; ///< A bad sign, seen here or told by a peer.
-  time_point mTroubleBefore{};
+  unsigned mBackoffFailures = 0; ///< Bad signs since the last good ones.
+  double mFailures = 0;          ///< Recent share of attempts that failed.
+  time_point mAvoidUntil{};      ///< Not chosen before, if there are others.
+  time_point mLastFailureAt{};   ///< A bad sign, seen here or told by a peer.
+  time_point mPreviousFailureAt{};
 
   bool operator==(const endpoint_health&) const = default;
 };
@@ -75,7 +76,7 @@
   bool operator==(const known_endpoint&) const = default;
 };
 
-struct endpoint_board
+struct endpoint_registry
 {
   std::map<std::string, known_endpoint> mEndpoints; ///< By id.
   /// Revisions of removed rows, so that a stale read does not bring back an
@@ -85,7 +86,7 @@
 };
 
 /// What a change of the list did to an endpoint.
-enum class listing : std::uint8_t
+enum class membership_change : std::uint8_t
 {
   Unchanged,
   Joined,
@@ -95,24 +96,26 @@
 };
 
 /// Takes one changed row. An older revision than the one held changes nothing.
-listing
-ApplyRow(endpoint_board& aBoard, const row_change<endpoint>& aChange);
+membership_change
+ApplyRow(endpoint_registry& aBoard, const row_change<endpoint>& aChange);
 
 /// Takes a whole reading of the list as of `aRevision`: what is not in it and
 /// was not seen later is gone. Gives the ids that left.
 std::vector<std::string>
-ApplyWholeList(endpoint_board& aBoard,
-               const std::vector<row_change<endpoint>>& aRows,
-               std::uint64_t aRevision);
+ApplySnapshot(endpoint_registry& aBoard,
+              const std::vector<row_change<endpoint>>& aRows,
+              std::uint64_t aRevision);
 
 /// Takes note of how an attempt ended.
 void
-NoteSign(endpoint_health& aHealth, endpoint_sign aSign, time_point aNow);
+RecordHealthEvent(endpoint_health& aHealth,
+                  endpoint_health_event aSign,
+                  time_point aNow);
 
 /// Takes note of a bad sign that another entry saw. One alone may be that
 /// entry's own trouble; several within a moment are the endpoint's.
 void
-NoteTold(endpoint_health& aHealth, time_point aNow);
+RecordPeerFailureReport(endpoint_health& aHealth, time_point aNow);
 
 /// True if the endpoint may be given new work of this service.
 bool
@@ -120,27 +123,27 @@
 
 /// True if the endpoint is usable and its limit admits a request by this entry.
 bool
-Admissible(const known_endpoint& aEndpoint,
-           std::string_view aService,
-           time_point aNow);
+IsAdmissible(const known_endpoint& aEndpoint,
+             std::string_view aService,
+             time_point aNow);
 
 /// Time until the limit of a usable endpoint of the service, other than those
 /// in `aTried`, admits a request; nullopt if there is no such endpoint.
 std::optional<duration>
-TimeUntilAdmissible(const endpoint_board& aBoard,
+TimeUntilAdmissible(const endpoint_registry& aBoard,
                     std::string_view aService,
                     const std::vector<std::string>& aTried,
                     time_point aNow);
 
 /// True if recent signs say to go elsewhere while there is an elsewhere.
 bool
-Avoided(const known_endpoint& aEndpoint, time_point aNow);
+IsAvoided(const known_endpoint& aEndpoint, time_point aNow);
 
 /// The least busy endpoint of a plain service that is not in `aTried`; of
 /// equals, one of the same data centre, then by `aDraw` in [0, 1). Null if
 /// there is none. Busy is what this process itself has outstanding there.
 known_endpoint*
-ChoosePlainEndpoint(endpoint_board& aBoard,
+ChoosePlainEndpoint(endpoint_registry& aBoard,
                     std::string_view aService,
                     std::string_view aDataCentre,
                     const std::vector<std::string>& aTried,
--- a/Libraries/LibFleet/EngineLedger.cpp
+++ b/Libraries/LibFleet/EngineLedger.cpp
@@ -29,12 +29,12 @@
 void
 MarkStretched(engine_ledger& aLedger, const engine_load& aLoad)
 {
-  for (const placement_key key : aLoad.mWriting) {
+  for (const placement_key key : aLoad.mDecoding) {
     const auto found = aLedger.mPlacements.find(key);
     if (found != aLedger.mPlacements.end() &&
         Seconds(found->second.mLongestPause) * kMsPerSecond <
           aLoad.mBacklogMs + kUsualPassMs) {
-      found->second.mStretched = true;
+      found->second.mPauseExceeded = true;
     }
   }
 }
@@ -54,16 +54,16 @@
               placement_key aNew,
               time_point aNow)
 {
-  std::erase_if(aLoad.mReading, [&aLedger, aNow](placement_key aKey) {
+  std::erase_if(aLoad.mPrefilling, [&aLedger, aNow](placement_key aKey) {
     const auto found = aLedger.mPlacements.find(aKey);
     return found == aLedger.mPlacements.end() ||
-           found->second.mReadUntil <= aNow;
+           found->second.mPrefillEndsAt <= aNow;
   });
-  aLoad.mReading.push_back(aNew);
+  aLoad.mPrefilling.push_back(aNew);
   const time_point end = aNow + FromSeconds(aLoad.mBacklogMs / kMsPerSecond);
-  for (const placement_key key : aLoad.mReading) {
+  for (const placement_key key : aLoad.mPrefilling) {
     placement& reading = aLedger.mPlacements.at(key);
-    reading.mReadUntil = std::max(reading.mReadUntil, end);
+    reading.mPrefillEndsAt = std::max(reading.mPrefillEndsAt, end);
   }
 }
 
@@ -78,7 +78,7 @@
     }
   }
   for (const placement_key key : forgotten) {
-    NoteEnded(aLedger, key, placement_end::Read, aNow);
+    RemovePlacement(aLedger, key, placement_end::Read, aNow);
   }
 }
 
@@ -106,31 +106,32 @@
 double
 BacklogMs(const engine_load& aLoad, time_point aNow)
 {
-  const double rate = aLoad.mWriting.empty() ? 1 : kReadingShareBesideWriters;
+  const double rate = aLoad.mDecoding.empty() ? 1 : kReadingShareBesideWriters;
   return std::max(0.0,
                   aLoad.mBacklogMs - rate * ElapsedMs(aLoad.mBacklogAt, aNow));
 }
 
 void
-NoteSaid(engine_ledger& aLedger,
-         engine_key aEngine,
-         std::size_t aRequests,
-         time_point aNow)
+SetReportedRequests(engine_ledger& aLedger,
+                    engine_key aEngine,
+                    std::size_t aRequests,
+                    time_point aNow)
 {
   engine_load& load = aLedger.mEngines[aEngine];
-  load.mSaid = aRequests;
-  load.mSaidAt = aNow;
+  load.mReportedRequestCount = aRequests;
+  load.mReportedAt = aNow;
 }
 
 std::size_t
 RequestsOn(const engine_load& aLoad, time_point aNow)
 {
-  const bool fresh = aNow - aLoad.mSaidAt < kSaidHolds;
-  return std::max(aLoad.mWriting.size(), fresh ? aLoad.mSaid : 0);
+  const bool fresh = aNow - aLoad.mReportedAt < kSaidHolds;
+  return std::max(aLoad.mDecoding.size(),
+                  fresh ? aLoad.mReportedRequestCount : 0);
 }
 
 void
-NotePlaced(engine_ledger& aLedger, const placement& aPlaced, time_point aNow)
+AddPlacement(engine_ledger& aLedger, const placement& aPlaced, time_point aNow)
 {
   if (aPlaced.mEngines.empty() ||
       !aLedger.mPlacements.emplace(aPlaced.mKey, aPlaced).second) {
@@ -138,12 +139,12 @@
   }
   for (const engine_key engine : aPlaced.mEngines) {
     engine_load& load = aLedger.mEngines[engine];
-    AddBacklog(load, aPlaced.mPartMs, aNow);
+    AddBacklog(load, aPlaced.mPartPrefillMs, aNow);
     MarkStretched(aLedger, load);
     DelayReadings(aLedger, load, aPlaced.mKey, aNow);
   }
   engine_load& writing = aLedger.mEngines[aPlaced.mEngines.front()];
-  writing.mWriting.push_back(aPlaced.mKey);
+  writing.mDecoding.push_back(aPlaced.mKey);
   writing.mTokens += aPlaced.mTokens;
   for (const engine_key holder : aPlaced.mHolders) {
     aLedger.mEngines[holder].mTokens += aPlaced.mHolderTokens;
@@ -151,10 +152,10 @@
 }
 
 void
-NoteEnded(engine_ledger& aLedger,
-          placement_key aKey,
-          placement_end aEnd,
-          time_point aNow)
+RemovePlacement(engine_ledger& aLedger,
+                placement_key aKey,
+                placement_end aEnd,
+                time_point aNow)
 {
   const auto found = aLedger.mPlacements.find(aKey);
   if (found == aLedger.mPlacements.end()) {
@@ -163,15 +164,15 @@
   const placement& ended = found->second;
   if (aEnd == placement_end::Unread) {
     for (const engine_key engine : ended.mEngines) {
-      AddBacklog(aLedger.mEngines[engine], -ended.mPartMs, aNow);
+      AddBacklog(aLedger.mEngines[engine], -ended.mPartPrefillMs, aNow);
     }
   }
   for (const engine_key engine : ended.mEngines) {
-    std::erase(aLedger.mEngines[engine].mReading, aKey);
+    std::erase(aLedger.mEngines[engine].mPrefilling, aKey);
   }
   engine_load& load = aLedger.mEngines[ended.mEngines.front()];
   load.mTokens = std::max(0.0, load.mTokens - ended.mTokens);
-  std::erase(load.mWriting, aKey);
+  std::erase(load.mDecoding, aKey);
   for (const engine_key holder : ended.mHolders) {
     double& tokens = aLedger.mEngines[holder].mTokens;
     tokens = std::max(0.0, tokens - ended.mHolderTokens);
@@ -180,7 +181,7 @@
 }
 
 void
-ForgetExpired(engine_ledger& aLedger, time_point aNow)
+RemoveExpiredPlacements(engine_ledger& aLedger, time_point aNow)
 {
   ForgetWhere(aLedger, aNow, [aNow](const placement& aPlaced) {
     return aPlaced.mExpires <= aNow;
@@ -188,7 +189,9 @@
 }
 
 void
-ForgetOwner(engine_ledger& aLedger, std::uint64_t aOwner, time_point aNow)
+RemovePlacementsOfOwner(engine_ledger& aLedger,
+                        std::uint64_t aOwner,
+                        time_point aNow)
 {
   ForgetWhere(aLedger, aNow, [aOwner](const placement& aPlaced) {
     return aPlaced.mOwner == aOwner;
--- a/Libraries/LibFleet/EngineLedger.h
+++ b/Libraries/LibFleet/EngineLedger.h
@@ -36,7 +36,7 @@
   placement_key mKey = 0;
   std::uint64_t mOwner = 0;         ///< The start of the entry that placed it.
   std::vector<engine_key> mEngines; ///< The first one writes; all read.
-  double mPartMs = 0;               ///< Reading that each of them does.
+  double mPartPrefillMs = 0;        ///< Reading that each of them does.
   duration mLongestPause{};         ///< That its events may have.
   double mWorth = 0;                ///< Against other requests.
   time_point mBegan{};              ///< When its caller asked.
@@ -47,9 +47,9 @@
   time_point mExpires{};            ///< Forgotten then, whatever was heard.
   /// A pause of its stream is known to be over its limit, so that further
   /// reading beside it costs its caller nothing more.
-  bool mStretched = false;
+  bool mPauseExceeded = false;
   /// When the last of its engines has read its part, as far as is known.
-  time_point mReadUntil{};
+  time_point mPrefillEndsAt{};
 
   bool operator==(const placement&) const = default;
 };
@@ -59,10 +59,12 @@
   double mBacklogMs = 0; ///< Reading not yet done, as of `mBacklogAt`.
   time_point mBacklogAt{};
   double mTokens = 0; ///< Memory taken by those that write here.
-  std::vector<placement_key> mWriting;
-  std::vector<placement_key> mReading; ///< That it reads, or has read lately.
-  std::size_t mSaid = 0; ///< Requests there, as the engine said at `mSaidAt`.
-  time_point mSaidAt{};
+  std::vector<placement_key> mDecoding;
+  std::vector<placement_key>
+    mPrefilling; ///< That it reads, or has read lately.
+  std::size_t mReportedRequestCount =
+    0; ///< Requests there, as the engine said at `mReportedAt`.
+  time_point mReportedAt{};
 
   bool operator==(const engine_load&) const = default;
 };
@@ -82,30 +84,32 @@
 
 /// Takes a placement in; one that is known already changes nothing.
 void
-NotePlaced(engine_ledger& aLedger, const placement& aPlaced, time_point aNow);
+AddPlacement(engine_ledger& aLedger, const placement& aPlaced, time_point aNow);
 
 /// Takes a placement out: its answer has ended, or it never began.
 void
-NoteEnded(engine_ledger& aLedger,
-          placement_key aKey,
-          placement_end aEnd,
-          time_point aNow);
+RemovePlacement(engine_ledger& aLedger,
+                placement_key aKey,
+                placement_end aEnd,
+                time_point aNow);
 
 /// Takes out what has expired: entries that were killed never tell the end.
 void
-ForgetExpired(engine_ledger& aLedger, time_point aNow);
+RemoveExpiredPlacements(engine_ledger& aLedger, time_point aNow);
 
 /// Takes out what one entry had placed: it is gone, and what it sent on ended
 /// with it.
 void
-ForgetOwner(engine_ledger& aLedger, std::uint64_t aOwner, time_point aNow);
+RemovePlacementsOfOwner(engine_ledger& aLedger,
+                        std::uint64_t aOwner,
+                        time_point aNow);
 
 /// Takes note of how many requests an engine itself said that it has.
 void
-NoteSaid(engine_ledger& aLedger,
-         engine_key aEngine,
-         std::size_t aRequests,
-         time_point aNow);
+SetReportedRequests(engine_ledger& aLedger,
+                    engine_key aEngine,
+                    std::size_t aRequests,
+                    time_point aNow);
 
 /// Requests on an engine: those known to be placed there, or what it said a
 /// moment ago where that is more, since other entries' news may be missing.
--- a/Libraries/LibFleet/EnginePlacement.cpp
+++ b/Libraries/LibFleet/EnginePlacement.cpp
@@ -23,7 +23,7 @@
 engine_choice
 PlaceWhole(const std::vector<engine_candidate>& aCandidates,
            const engine_timing& aTiming,
-           const engine_work& aWork,
+           const placement_request& aWork,
            double aReadingMs)
 {
   const engine_candidate* best = nullptr;
@@ -31,13 +31,14 @@
   double bestFirst = 0;
   for (const engine_candidate& one : aCandidates) {
     const double first =
-      one.mBacklogMs + aReadingMs + kPassesToFirstEvent * one.mPassMs;
-    const double cost = LateCost(first, aWork) + PauseHarm(one, aReadingMs) +
-                        GatheringCost(one, aTiming, aWork) +
+      one.mBacklogMs + aReadingMs + kPassesToFirstEvent * one.mDecodePassMs;
+    const double cost = LatenessCost(first, aWork) +
+                        PauseHarm(one, aReadingMs) +
+                        PackingCost(one, aTiming, aWork) +
                         (HasRoom(one, aTiming, aWork) ? 0 : aWork.mWorth) +
-                        (one.mAway ? kAwayPenalty : 0);
+                        (one.mInOtherDataCentre ? kAwayPenalty : 0);
     const std::pair<double, std::uint64_t> ranked(
-      cost, Hash(one.mEndpoint->mListed.mId, aWork.mOrderSeed));
+      cost, Hash(one.mEndpoint->mListed.mId, aWork.mTieBreakSeed));
     if (best == nullptr || ranked < bestCost) {
       best = &one;
       bestCost = ranked;
@@ -45,8 +46,8 @@
     }
   }
   engine_choice choice;
-  choice.mWriter = best->mEndpoint;
-  choice.mPartMs = aReadingMs;
+  choice.mDecodeEngine = best->mEndpoint;
+  choice.mPartPrefillMs = aReadingMs;
   choice.mFirstEventMs = bestFirst;
   choice.mHarm.mStreams = PauseHarm(*best, aReadingMs);
   return choice;
@@ -58,19 +59,20 @@
   const division chosen = CheapestDivision(aPlacing);
   engine_choice choice;
   choice.mVerdict =
-    chosen.mFits ? engine_verdict::Send : engine_verdict::NoMemory;
-  choice.mWriter = chosen.mWriter->mEndpoint;
-  for (const engine_candidate* const one : chosen.mReaders) {
-    choice.mReaders.push_back(one->mEndpoint);
+    chosen.mFitsMemory ? placement_verdict::Send : placement_verdict::NoMemory;
+  choice.mDecodeEngine = chosen.mDecodeEngine->mEndpoint;
+  for (const engine_candidate* const one : chosen.mPrefillHelpers) {
+    choice.mPrefillHelpers.push_back(one->mEndpoint);
   }
   choice.mHolders = chosen.mHolders;
   choice.mHolderTokens = chosen.mHolderTokens;
-  choice.mPartMs = chosen.mPartMs;
+  choice.mPartPrefillMs = chosen.mPartPrefillMs;
   choice.mFirstEventMs =
-    chosen.mReadMs + kPassesToFirstEvent * chosen.mWriter->mPassMs;
+    chosen.mPrefillEndsMs +
+    kPassesToFirstEvent * chosen.mDecodeEngine->mDecodePassMs;
   choice.mHarm = chosen.mHarm;
-  choice.mPriceOfSecond = PriceOfSecond(aPlacing.mCandidates);
-  Judge(choice, aLedger, aPlacing.mWork, aPlacing.mReadingMs);
+  choice.mPrefillSecondPrice = PrefillSecondPrice(aPlacing.mCandidates);
+  Judge(choice, aLedger, aPlacing.mWork, aPlacing.mPrefillMs);
   return choice;
 }
 
@@ -79,20 +81,20 @@
 double
 TotalHarm(const placement_harm& aHarm)
 {
-  return aHarm.mStreams + (aHarm.mReadings + aHarm.mHolding);
+  return aHarm.mStreams + (aHarm.mPrefills + aHarm.mFutureRequests);
 }
 
 double
-WorthOfWork(double aPromptTokens)
+WorthOfPrompt(double aPromptTokens)
 {
   return kBaseWorth + kWorthPerThousand * aPromptTokens / kThousand;
 }
 
 std::optional<engine_choice>
-PlaceOnEngines(endpoint_board& aBoard,
+PlaceOnEngines(endpoint_registry& aBoard,
                const engine_ledger& aLedger,
                const engine_timing& aTiming,
-               const engine_work& aWork,
+               const placement_request& aWork,
                const std::vector<std::string>& aTried,
                std::string_view aDataCentre,
                time_point aNow)
@@ -102,15 +104,15 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  const double reading = ReadingMs(aTiming, aWork.mPromptTokens);
+  const double reading = PrefillMs(aTiming, aWork.mPromptTokens);
   if (reading <= kWholeMs) {
     return PlaceWhole(candidates, aTiming, aWork, reading);
   }
-  if (aWork.mOrderSeed != 0) {
+  if (aWork.mTieBreakSeed != 0) {
     // Engines that seem equal are not equal to others; in one order for all
     // every entry would read its long prompts on the same ones.
     const std::uint64_t seed =
-      aWork.mOrderSeed + static_cast<std::uint64_t>(aWork.mPromptTokens);
+      aWork.mTieBreakSeed + static_cast<std::uint64_t>(aWork.mPromptTokens);
     std::sort(
       candidates.begin(),
       candidates.end(),
@@ -119,23 +121,26 @@
                Hash(aOther.mEndpoint->mListed.mId, seed);
       });
   }
-  return PlaceDivided(
-    { candidates, aTiming, aWork, reading, SlotsTaken(candidates, aTiming) },
-    aLedger);
+  return PlaceDivided({ candidates,
+                        aTiming,
+                        aWork,
+                        reading,
+                        SlotUtilisation(candidates, aTiming) },
+                      aLedger);
 }
 
 placement
-PlacementOf(const engine_choice& aChoice,
-            const engine_work& aWork,
-            placement_key aKey)
+MakePlacement(const engine_choice& aChoice,
+              const placement_request& aWork,
+              placement_key aKey)
 {
   placement placed;
   placed.mKey = aKey;
-  placed.mEngines.push_back(EngineKey(aChoice.mWriter->mListed.mId));
-  for (const known_endpoint* const reader : aChoice.mReaders) {
+  placed.mEngines.push_back(EngineKey(aChoice.mDecodeEngine->mListed.mId));
+  for (const known_endpoint* const reader : aChoice.mPrefillHelpers) {
     placed.mEngines.push_back(EngineKey(reader->mListed.mId));
   }
-  placed.mPartMs = aChoice.mPartMs;
+  placed.mPartPrefillMs = aChoice.mPartPrefillMs;
   placed.mLongestPause = aWork.mLongestPause;
   placed.mWorth = aWork.mWorth;
   placed.mObjective = aWork.mObjective;
@@ -150,10 +155,10 @@
 }
 
 duration
-TimeUntilAccepted(endpoint_board& aBoard,
+TimeUntilAccepted(endpoint_registry& aBoard,
                   const engine_ledger& aLedger,
                   const engine_timing& aTiming,
-                  const engine_work& aWork,
+                  const placement_request& aWork,
                   std::string_view aDataCentre,
                   time_point aNow,
                   duration aLongest)
@@ -163,8 +168,8 @@
   for (duration after = kMinRetryAfter; after < aLongest; after *= 2) {
     const std::optional<engine_choice> choice = PlaceOnEngines(
       aBoard, aLedger, aTiming, aWork, {}, aDataCentre, aNow + after);
-    if (choice.has_value() && (choice->mVerdict == engine_verdict::Send ||
-                               choice->mVerdict == engine_verdict::Wait)) {
+    if (choice.has_value() && (choice->mVerdict == placement_verdict::Send ||
+                               choice->mVerdict == placement_verdict::Wait)) {
       return after;
     }
   }
--- a/Libraries/LibFleet/EngineSubset.cpp
+++ b/Libraries/LibFleet/EngineSubset.cpp
@@ -25,7 +25,9 @@
 /// True if the arc that begins at `aFrom`, of one of so many entries, holds the
 /// engine.
 bool
-ArcHolds(double aFrom, std::size_t aEntries, const engine_place& aEngine)
+ArcHolds(double aFrom,
+         std::size_t aEntries,
+         const engine_ring_position& aEngine)
 {
   const double ahead = aEngine.mPosition - aFrom;
   return (ahead < 0 ? ahead + 1 : ahead) <
@@ -35,7 +37,7 @@
 } // namespace
 
 void
-RankEngines(subset_ring& aRing, const endpoint_board& aBoard)
+AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aBoard)
 {
   std::map<std::string, std::vector<std::pair<std::uint64_t, engine_key>>>
     services;
@@ -51,7 +53,8 @@
 }
 
 void
-RankEntries(subset_ring& aRing, const std::vector<std::string>& aHosts)
+AssignGatewayPositions(subset_ring& aRing,
+                       const std::vector<std::string>& aHosts)
 {
   std::vector<std::pair<std::uint64_t, std::string>> hashed;
   hashed.reserve(aHosts.size());
@@ -72,7 +75,7 @@
   const double engines =
     static_cast<double>(std::max<std::size_t>(aEngines, 1));
   return std::min(
-    1.0, std::max(kEntriesPerEngine / entries, kEnginesPerEntry / engines));
+    1.0, std::max(kGatewaysPerEngine / entries, kEnginesPerGateway / engines));
 }
 
 bool
@@ -91,7 +94,7 @@
                 const std::vector<std::string>& aHosts,
                 const std::vector<engine_key>& aEngines)
 {
-  std::vector<engine_place> places;
+  std::vector<engine_ring_position> places;
   places.reserve(aEngines.size());
   for (const engine_key engine : aEngines) {
     const auto found = aRing.mEngines.find(engine);
@@ -104,10 +107,12 @@
   for (const std::string& host : aHosts) {
     const auto entry = aRing.mEntries.find(host);
     if (entry == aRing.mEntries.end() ||
-        std::any_of(
-          places.begin(), places.end(), [&](const engine_place& aPlace) {
-            return ArcHolds(entry->second, aRing.mEntries.size(), aPlace);
-          })) {
+        std::any_of(places.begin(),
+                    places.end(),
+                    [&](const engine_ring_position& aPlace) {
+                      return ArcHolds(
+                        entry->second, aRing.mEntries.size(), aPlace);
+                    })) {
       hosts.push_back(host);
     }
   }
@@ -115,7 +120,7 @@
 }
 
 void
-MarkPreferred(endpoint_board& aBoard,
+MarkPreferred(endpoint_registry& aBoard,
               const subset_ring& aRing,
               const std::string& aHost)
 {
--- a/Libraries/LibFleet/EngineSubset.h
+++ b/Libraries/LibFleet/EngineSubset.h
@@ -35,23 +35,23 @@
 /// when half of them die, and that the requests which one entry gets more of
 /// than another are spread; few enough that each of them is always told of a
 /// placement there within the bytes that operators allow.
-inline constexpr double kEntriesPerEngine = kFullBroadcastPeers;
+inline constexpr double kGatewaysPerEngine = kFullBroadcastPeers;
 /// Engines that each entry prefers at least: over twice the 17 that the longest
 /// prompts are divided over, so that they have a choice.
-inline constexpr double kEnginesPerEntry = 40;
+inline constexpr double kEnginesPerGateway = 40;
 
 /// Where an engine stands among those of its service.
-struct engine_place
+struct engine_ring_position
 {
   double mPosition = 0;     ///< On the ring, 0 to 1.
   std::size_t mEngines = 1; ///< Of its service.
 
-  bool operator==(const engine_place&) const = default;
+  bool operator==(const engine_ring_position&) const = default;
 };
 
 struct subset_ring
 {
-  std::unordered_map<engine_key, engine_place> mEngines;
+  std::unordered_map<engine_key, engine_ring_position> mEngines;
   std::map<std::string, double> mEntries; ///< Positions by host.
 
   bool operator==(const subset_ring&) const = default;
@@ -59,10 +59,11 @@
 
 /// Ranks the listed endpoints, those of each service by themselves.
 void
-RankEngines(subset_ring& aRing, const endpoint_board& aBoard);
+AssignEnginePositions(subset_ring& aRing, const endpoint_registry& aBoard);
 
 void
-RankEntries(subset_ring& aRing, const std::vector<std::string>& aHosts);
+AssignGatewayPositions(subset_ring& aRing,
+                       const std::vector<std::string>& aHosts);
 
 /// The part of a service's engines that each entry prefers, 0 to 1.
 double
@@ -82,7 +83,7 @@
 
 /// Marks the endpoints that the entry at this host prefers.
 void
-MarkPreferred(endpoint_board& aBoard,
+MarkPreferred(endpoint_registry& aBoard,
               const subset_ring& aRing,
               const std::string& aHost);
 
--- a/Libraries/LibFleet/EngineTiming.cpp
+++ b/Libraries/LibFleet/EngineTiming.cpp
@@ -3,20 +3,23 @@
 namespace primrose {
 
 double
-ReadingMs(const engine_timing& aEngine, double aPromptTokens)
+PrefillMs(const engine_timing& aEngine, double aPromptTokens)
 {
   constexpr double kMillion = 1e6;
   const double pairs = aPromptTokens * aPromptTokens / 2 / kMillion;
-  return aPromptTokens / aEngine.mTokensReadPerMs +
-         pairs * aEngine.mMsPerMillionPairs;
+  return aPromptTokens / aEngine.mPrefillTokensPerMs +
+         pairs * aEngine.mPrefillMsPerMillionPairs;
 }
 
 double
-PassMs(const engine_timing& aEngine, double aWriters, double aContextTokens)
+DecodePassMs(const engine_timing& aEngine,
+             double aWriters,
+             double aContextTokens)
 {
   constexpr double kThousand = 1e3;
-  const double step = aEngine.mStepMs + aEngine.mStepMsPerRequest * aWriters +
-                      aEngine.mStepMsPerThousand * aContextTokens / kThousand;
+  const double step =
+    aEngine.mStepMs + aEngine.mStepMsPerRequest * aWriters +
+    aEngine.mStepMsPerThousandTokens * aContextTokens / kThousand;
   return step * aEngine.mStepsPerPass;
 }
 
--- a/Libraries/LibFleet/PlacementAdmission.cpp
+++ b/Libraries/LibFleet/PlacementAdmission.cpp
@@ -37,7 +37,7 @@
 /// same objective and allowed pause. Falls back to the worth of the request
 /// itself if there are too few.
 double
-MeanWorthOfKind(const engine_ledger& aLedger, const engine_work& aWork)
+MeanWorthOfKind(const engine_ledger& aLedger, const placement_request& aWork)
 {
   double sum = 0;
   std::size_t count = 0;
@@ -59,7 +59,7 @@
 double
 ScaledGain(const engine_choice& aChoice,
            const engine_ledger& aLedger,
-           const engine_work& aWork,
+           const placement_request& aWork,
            bool aHasWaited)
 {
   const double factor = std::clamp(
@@ -69,7 +69,7 @@
 
 /// How long after its caller asked a prompt may wait for a better place.
 duration
-MaxWait(const engine_work& aWork)
+MaxWait(const placement_request& aWork)
 {
   return std::min(kMaxWait,
                   FromSeconds(kMaxWaitShare * Seconds(aWork.mObjective)));
@@ -78,24 +78,24 @@
 } // namespace
 
 double
-PriceOfSecond(const std::vector<engine_candidate>& aCandidates)
+PrefillSecondPrice(const std::vector<engine_candidate>& aCandidates)
 {
   double backlog = 0;
   for (const engine_candidate& one : aCandidates) {
     backlog += one.mBacklogMs;
   }
   const double mean = backlog / static_cast<double>(aCandidates.size());
-  return kWorthOfBusySecond * std::clamp(mean / kFullBacklogMs, 0.0, 1.0);
+  return kWorthOfBusyEngineSecond * std::clamp(mean / kFullBacklogMs, 0.0, 1.0);
 }
 
 void
 Judge(engine_choice& aChoice,
       const engine_ledger& aLedger,
-      const engine_work& aWork,
+      const placement_request& aWork,
       double aReadingMs)
 {
   const double mostGain = (1 + kLostWhenRefused) * aWork.mWorth;
-  aChoice.mGain = mostGain - LateCost(aChoice.mFirstEventMs, aWork);
+  aChoice.mGain = mostGain - LatenessCost(aChoice.mFirstEventMs, aWork);
   // Reading grows with the square of a prompt, what it gains does not: priced
   // by the second alone, the largest of a kind would be rejected first. The
   // price is therefore capped at the most that the prompt can gain, scaled by
@@ -103,21 +103,21 @@
   // What holds engines for long is in the harm: that is a bound on the length
   // of its parts, of which there can be more.
   aChoice.mPrice =
-    std::min(aChoice.mPriceOfSecond * aReadingMs / kMsPerSecond,
-             aChoice.mPriceOfSecond / kWorthOfBusySecond * mostGain);
-  if (aChoice.mVerdict != engine_verdict::Send) {
+    std::min(aChoice.mPrefillSecondPrice * aReadingMs / kMsPerSecond,
+             aChoice.mPrefillSecondPrice / kWorthOfBusyEngineSecond * mostGain);
+  if (aChoice.mVerdict != placement_verdict::Send) {
     return;
   }
-  const bool hasWaited = aWork.mElapsed >= kReweighInterval;
+  const bool hasWaited = aWork.mElapsed >= kReevaluationInterval;
   const double harm = TotalHarm(aChoice.mHarm);
   const double cost = harm + aChoice.mPrice;
   const bool covered = cost <= aChoice.mGain ||
                        cost <= ScaledGain(aChoice, aLedger, aWork, hasWaited);
   if (harm > aChoice.mGain * kUnpostponedHarm && (covered || hasWaited) &&
       aWork.mElapsed < MaxWait(aWork)) {
-    aChoice.mVerdict = engine_verdict::Wait;
+    aChoice.mVerdict = placement_verdict::Wait;
   } else if (!covered) {
-    aChoice.mVerdict = engine_verdict::TurnAway;
+    aChoice.mVerdict = placement_verdict::TurnAway;
   }
 }
 
--- a/Libraries/LibFleet/PlacementAdmission.h
+++ b/Libraries/LibFleet/PlacementAdmission.h
@@ -10,7 +10,7 @@
 /// What a second of reading takes from requests that come next, by how much the
 /// engines have to read. There is at least one candidate.
 double
-PriceOfSecond(const std::vector<engine_candidate>& aCandidates);
+PrefillSecondPrice(const std::vector<engine_candidate>& aCandidates);
 
 /// Compares what reading this prompt gains its caller with what it takes from
 /// the callers of others.
@@ -21,7 +21,7 @@
 void
 Judge(engine_choice& aChoice,
       const engine_ledger& aLedger,
-      const engine_work& aWork,
+      const placement_request& aWork,
       double aReadingMs);
 
 } // namespace primrose
--- a/Libraries/LibFleet/PlacementCandidates.cpp
+++ b/Libraries/LibFleet/PlacementCandidates.cpp
@@ -11,32 +11,32 @@
 constexpr double kUsableMemory = 0.95;
 constexpr double kMsPerSecond = 1e3;
 
-std::vector<placed_stream>
+std::vector<decoding_stream>
 StreamsOn(const engine_ledger& aLedger, const engine_load& aLoad)
 {
-  std::vector<placed_stream> streams;
-  streams.reserve(aLoad.mWriting.size());
-  for (const placement_key key : aLoad.mWriting) {
+  std::vector<decoding_stream> streams;
+  streams.reserve(aLoad.mDecoding.size());
+  for (const placement_key key : aLoad.mDecoding) {
     const auto placed = aLedger.mPlacements.find(key);
     if (placed != aLedger.mPlacements.end()) {
       streams.push_back({ ToMs(placed->second.mLongestPause),
                           placed->second.mWorth,
-                          placed->second.mStretched });
+                          placed->second.mPauseExceeded });
     }
   }
   return streams;
 }
 
-std::vector<placed_reading>
+std::vector<prefilling_prompt>
 ReadingsOn(const engine_ledger& aLedger,
            const engine_load& aLoad,
            time_point aNow)
 {
-  std::vector<placed_reading> readings;
-  for (const placement_key key : aLoad.mReading) {
+  std::vector<prefilling_prompt> readings;
+  for (const placement_key key : aLoad.mPrefilling) {
     const auto placed = aLedger.mPlacements.find(key);
     if (placed == aLedger.mPlacements.end() ||
-        placed->second.mReadUntil <= aNow) {
+        placed->second.mPrefillEndsAt <= aNow) {
       continue;
     }
     const placement& one = placed->second;
@@ -44,7 +44,7 @@
                          one.mWorth,
                          ToMs(one.mObjective),
                          ToMs(aNow - one.mBegan),
-                         ToMs(one.mReadUntil - aNow),
+                         ToMs(one.mPrefillEndsAt - aNow),
                          static_cast<double>(one.mEngines.size()) });
   }
   return readings;
@@ -67,10 +67,10 @@
 }
 
 std::vector<engine_candidate>
-EngineCandidates(endpoint_board& aBoard,
+EngineCandidates(endpoint_registry& aBoard,
                  const engine_ledger& aLedger,
                  const engine_timing& aTiming,
-                 const engine_work& aWork,
+                 const placement_request& aWork,
                  const std::vector<std::string>& aTried,
                  std::string_view aDataCentre,
                  time_point aNow)
@@ -78,7 +78,7 @@
   static const engine_load kIdle{};
   const auto usable = [&aWork, &aTried, aNow](const std::string& aId,
                                               const known_endpoint& aKnown) {
-    return Admissible(aKnown, aWork.mService, aNow) &&
+    return IsAdmissible(aKnown, aWork.mService, aNow) &&
            std::find(aTried.begin(), aTried.end(), aId) == aTried.end();
   };
   const bool anyPreferred = std::any_of(
@@ -100,13 +100,13 @@
     one.mBacklogMs = BacklogMs(load, aNow);
     one.mFreeTokens = FreeTokens(aTiming, load);
     one.mStreams = StreamsOn(aLedger, load);
-    one.mReadings = ReadingsOn(aLedger, load, aNow);
+    one.mPrefills = ReadingsOn(aLedger, load, aNow);
     one.mRequests = RequestsOn(load, aNow);
-    one.mPassMs = PassMs(aTiming,
-                         static_cast<double>(one.mRequests + 1),
-                         load.mTokens + aWork.mPromptTokens);
-    one.mAvoided = Avoided(known, aNow);
-    one.mAway = known.mListed.mDataCentre != aDataCentre;
+    one.mDecodePassMs = DecodePassMs(aTiming,
+                                     static_cast<double>(one.mRequests + 1),
+                                     load.mTokens + aWork.mPromptTokens);
+    one.mAvoided = IsAvoided(known, aNow);
+    one.mInOtherDataCentre = known.mListed.mDataCentre != aDataCentre;
     candidates.push_back(std::move(one));
   }
   // Engines with bad signs are left out while enough others are there.
@@ -124,7 +124,7 @@
 bool
 HasRoom(const engine_candidate& aCandidate,
         const engine_timing& aTiming,
-        const engine_work& aWork)
+        const placement_request& aWork)
 {
   return aCandidate.mRequests < aTiming.mSlots &&
          aCandidate.mFreeTokens >= aWork.mPromptTokens + aWork.mAnswerTokens;
--- a/Libraries/LibFleet/PlacementCosts.cpp
+++ b/Libraries/LibFleet/PlacementCosts.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 double
-LateCost(double aFirstMs, double aObjectiveMs, double aWorth)
+LatenessCost(double aFirstMs, double aObjectiveMs, double aWorth)
 {
   const double share = aFirstMs / aObjectiveMs;
   if (share <= kLateFrom) {
@@ -47,31 +47,31 @@
 }
 
 double
-LateCost(double aFirstMs, const engine_work& aWork)
+LatenessCost(double aFirstMs, const placement_request& aWork)
 {
-  return LateCost(aFirstMs, ToMs(aWork.mObjective), aWork.mWorth);
+  return LatenessCost(aFirstMs, ToMs(aWork.mObjective), aWork.mWorth);
 }
 
 double
-DelayHarm(const placed_reading& aReading, double aEndsMs)
+PrefillDelayHarm(const prefilling_prompt& aReading, double aEndsMs)
 {
-  if (aEndsMs <= aReading.mLeftMs || aReading.mObjectiveMs <= 0) {
+  if (aEndsMs <= aReading.mPrefillLeftMs || aReading.mObjectiveMs <= 0) {
     return 0;
   }
   const auto cost = [&aReading](double aReadMs) {
-    return LateCost(
+    return LatenessCost(
       aReading.mElapsedMs + aReadMs, aReading.mObjectiveMs, aReading.mWorth);
   };
-  return cost(aEndsMs) - cost(aReading.mLeftMs);
+  return cost(aEndsMs) - cost(aReading.mPrefillLeftMs);
 }
 
 double
-ReadingHarm(const engine_candidate& aCandidate, double aReadingMs)
+EnginePrefillDelayHarm(const engine_candidate& aCandidate, double aReadingMs)
 {
   const double ends = aCandidate.mBacklogMs + aReadingMs;
   double harm = 0;
-  for (const placed_reading& one : aCandidate.mReadings) {
-    harm += DelayHarm(one, ends) / one.mEngines;
+  for (const prefilling_prompt& one : aCandidate.mPrefills) {
+    harm += PrefillDelayHarm(one, ends) / one.mEngines;
   }
   return harm;
 }
@@ -79,11 +79,11 @@
 double
 PauseHarm(const engine_candidate& aCandidate, double aReadingMs)
 {
-  const double pause =
-    aCandidate.mBacklogMs + aReadingMs + aCandidate.mPassMs + kPauseMarginMs;
+  const double pause = aCandidate.mBacklogMs + aReadingMs +
+                       aCandidate.mDecodePassMs + kPauseMarginMs;
   double harm = 0;
-  for (const placed_stream& one : aCandidate.mStreams) {
-    if (!one.mStretched && one.mLongestPauseMs < pause) {
+  for (const decoding_stream& one : aCandidate.mStreams) {
+    if (!one.mPauseExceeded && one.mLongestPauseMs < pause) {
       harm += kLostWhenLate * one.mWorth;
     }
     if (pause >
@@ -95,26 +95,29 @@
 }
 
 double
-GatheringCost(const engine_candidate& aCandidate,
-              const engine_timing& aTiming,
-              const engine_work& aWork)
+PackingCost(const engine_candidate& aCandidate,
+            const engine_timing& aTiming,
+            const placement_request& aWork)
 {
   const double own = ToMs(aWork.mLongestPause);
   const bool longReading =
-    aCandidate.mBacklogMs + aCandidate.mPassMs + kPauseMarginMs > own ||
-    std::any_of(aCandidate.mStreams.begin(),
-                aCandidate.mStreams.end(),
-                [](const placed_stream& aOne) { return aOne.mStretched; });
+    aCandidate.mBacklogMs + aCandidate.mDecodePassMs + kPauseMarginMs > own ||
+    std::any_of(
+      aCandidate.mStreams.begin(),
+      aCandidate.mStreams.end(),
+      [](const decoding_stream& aOne) { return aOne.mPauseExceeded; });
   const double writers = static_cast<double>(aCandidate.mRequests);
   const double gathered = kGatheredShare * aTiming.mSlots;
   const double crowd = kCrowdPenalty * std::max(0.0, writers - gathered);
   if (longReading) {
     return kMixingPenalty * aWork.mWorth + crowd;
   }
-  const std::size_t alike = static_cast<std::size_t>(std::count_if(
-    aCandidate.mStreams.begin(),
-    aCandidate.mStreams.end(),
-    [own](const placed_stream& aOne) { return aOne.mLongestPauseMs <= own; }));
+  const std::size_t alike =
+    static_cast<std::size_t>(std::count_if(aCandidate.mStreams.begin(),
+                                           aCandidate.mStreams.end(),
+                                           [own](const decoding_stream& aOne) {
+                                             return aOne.mLongestPauseMs <= own;
+                                           }));
   if (alike == 0) {
     return kOpeningPenalty * aWork.mWorth + crowd;
   }
@@ -122,17 +125,18 @@
 }
 
 double
-HoldingHarm(double aSlotsTaken, double aPartMs, std::size_t aParts)
+FutureRequestHarm(double aSlotsTaken, double aPartMs, std::size_t aParts)
 {
   // Requests that arrive during a long part are in no sum yet. The share of
   // slots taken now is the estimate of how many there will be.
   const double held = std::max(0.0, aPartMs - kAbandonedMs) / kMsPerSecond;
-  return kWorthOfBusySecond * aSlotsTaken * held * static_cast<double>(aParts);
+  return kWorthOfBusyEngineSecond * aSlotsTaken * held *
+         static_cast<double>(aParts);
 }
 
 double
-SlotsTaken(const std::vector<engine_candidate>& aCandidates,
-           const engine_timing& aTiming)
+SlotUtilisation(const std::vector<engine_candidate>& aCandidates,
+                const engine_timing& aTiming)
 {
   double taken = 0;
   for (const engine_candidate& one : aCandidates) {
--- a/Libraries/LibFleet/PlacementDivision.cpp
+++ b/Libraries/LibFleet/PlacementDivision.cpp
@@ -26,10 +26,12 @@
   std::tuple<bool, std::size_t, double> bestRank;
   const double own = ToMs(aPlacing.mWork.mLongestPause);
   for (const engine_candidate* const one : aEngines) {
-    const std::size_t tight = static_cast<std::size_t>(std::count_if(
-      one->mStreams.begin(),
-      one->mStreams.end(),
-      [own](const placed_stream& aOne) { return aOne.mLongestPauseMs < own; }));
+    const std::size_t tight = static_cast<std::size_t>(
+      std::count_if(one->mStreams.begin(),
+                    one->mStreams.end(),
+                    [own](const decoding_stream& aOne) {
+                      return aOne.mLongestPauseMs < own;
+                    }));
     const std::tuple<bool, std::size_t, double> rank(
       !HasRoom(*one, aPlacing.mTiming, aPlacing.mWork),
       tight,
@@ -44,14 +46,14 @@
 
 /// Adds memory on readers where the writer's own does not do.
 void
-AddHolders(division& aDivision, const engine_work& aWork)
+AddHolders(division& aDivision, const placement_request& aWork)
 {
   const double missing = aWork.mPromptTokens + aWork.mAnswerTokens -
-                         std::max(0.0, aDivision.mWriter->mFreeTokens);
+                         std::max(0.0, aDivision.mDecodeEngine->mFreeTokens);
   if (missing <= 0) {
     return;
   }
-  std::vector<const engine_candidate*>& readers = aDivision.mReaders;
+  std::vector<const engine_candidate*>& readers = aDivision.mPrefillHelpers;
   std::sort(readers.begin(),
             readers.end(),
             [](const engine_candidate* aOne, const engine_candidate* aOther) {
@@ -65,7 +67,7 @@
       return;
     }
   }
-  aDivision.mFits = false;
+  aDivision.mFitsMemory = false;
 }
 
 /// The engines that are cheapest to read a part each. `aDelayWeight` prices
@@ -81,8 +83,9 @@
   std::vector<priced> order;
   order.reserve(aPlacing.mCandidates.size());
   for (const engine_candidate& one : aPlacing.mCandidates) {
-    const double delay = (one.mBacklogMs + one.mPassMs) / objective;
-    order.emplace_back(PauseHarm(one, aPartMs) + ReadingHarm(one, aPartMs) +
+    const double delay = (one.mBacklogMs + one.mDecodePassMs) / objective;
+    order.emplace_back(PauseHarm(one, aPartMs) +
+                         EnginePrefillDelayHarm(one, aPartMs) +
                          aDelayWeight * aPlacing.mWork.mWorth * delay,
                        &one);
   }
@@ -107,9 +110,10 @@
 {
   std::map<placement_key, double> worst;
   for (const engine_candidate* const one : aEngines) {
-    for (const placed_reading& reading : one->mReadings) {
+    for (const prefilling_prompt& reading : one->mPrefills) {
       double& harm = worst[reading.mKey];
-      harm = std::max(harm, DelayHarm(reading, one->mBacklogMs + aPartMs));
+      harm =
+        std::max(harm, PrefillDelayHarm(reading, one->mBacklogMs + aPartMs));
     }
   }
   double sum = 0;
@@ -124,29 +128,29 @@
 DivideOver(const placing& aPlacing,
            const std::vector<const engine_candidate*>& aEngines)
 {
-  const engine_work& work = aPlacing.mWork;
+  const placement_request& work = aPlacing.mWork;
   const double parts = static_cast<double>(aEngines.size());
   division made;
-  made.mPartMs = aPlacing.mReadingMs / parts;
-  made.mWriter = ChooseWriter(aEngines, aPlacing);
+  made.mPartPrefillMs = aPlacing.mPrefillMs / parts;
+  made.mDecodeEngine = ChooseWriter(aEngines, aPlacing);
   double wait = 0;
   for (const engine_candidate* const one : aEngines) {
-    made.mHarm.mStreams += PauseHarm(*one, made.mPartMs);
+    made.mHarm.mStreams += PauseHarm(*one, made.mPartPrefillMs);
     wait = std::max(wait, one->mBacklogMs);
-    if (one != made.mWriter) {
-      made.mReaders.push_back(one);
+    if (one != made.mDecodeEngine) {
+      made.mPrefillHelpers.push_back(one);
     }
   }
-  made.mHarm.mReadings = DelayOfOthers(aEngines, made.mPartMs);
-  made.mHarm.mHolding =
-    HoldingHarm(aPlacing.mSlotsTaken, made.mPartMs, aEngines.size());
-  made.mReadMs = wait + made.mPartMs;
+  made.mHarm.mPrefills = DelayOfOthers(aEngines, made.mPartPrefillMs);
+  made.mHarm.mFutureRequests = FutureRequestHarm(
+    aPlacing.mSlotUtilisation, made.mPartPrefillMs, aEngines.size());
+  made.mPrefillEndsMs = wait + made.mPartPrefillMs;
   AddHolders(made, work);
   const double first =
-    made.mReadMs + kPassesToFirstEvent * aEngines.front()->mPassMs;
+    made.mPrefillEndsMs + kPassesToFirstEvent * aEngines.front()->mDecodePassMs;
   made.mCost =
-    TotalHarm(made.mHarm) + LateCost(ToMs(work.mElapsed) + first, work) +
-    work.mWorth * (kTimePenalty * made.mReadMs / ToMs(work.mObjective) +
+    TotalHarm(made.mHarm) + LatenessCost(ToMs(work.mElapsed) + first, work) +
+    work.mWorth * (kTimePenalty * made.mPrefillEndsMs / ToMs(work.mObjective) +
                    kPartPenalty * parts);
   return made;
 }
@@ -159,11 +163,11 @@
 {
   std::vector<const engine_candidate*> engines =
     CheapestEngines(aPlacing,
-                    aPlacing.mReadingMs / static_cast<double>(aParts),
+                    aPlacing.mPrefillMs / static_cast<double>(aParts),
                     aParts,
                     aDelayWeight);
   division made = DivideOver(aPlacing, engines);
-  if (made.mFits) {
+  if (made.mFitsMemory) {
     return made;
   }
   const auto most = std::max_element(
@@ -183,10 +187,11 @@
 bool
 IsBetter(const division& aOne, const division& aOther)
 {
-  if (aOther.mWriter == nullptr) {
+  if (aOther.mDecodeEngine == nullptr) {
     return true;
   }
-  return aOne.mFits != aOther.mFits ? aOne.mFits : aOne.mCost < aOther.mCost;
+  return aOne.mFitsMemory != aOther.mFitsMemory ? aOne.mFitsMemory
+                                                : aOne.mCost < aOther.mCost;
 }
 
 } // namespace
--- a/Libraries/LibFleet/StreamTimeouts.cpp
+++ b/Libraries/LibFleet/StreamTimeouts.cpp
@@ -28,7 +28,9 @@
 } // namespace
 
 duration
-FirstEventTimeout(const engine_work& aWork, double aExpectedMs, bool aDivided)
+FirstEventTimeout(const placement_request& aWork,
+                  double aExpectedMs,
+                  bool aDivided)
 {
   if (aDivided) {
     return FromSeconds(kDividedTimeoutFactor * aExpectedMs / kMsPerSecond) +
--- a/Libraries/LibFleet/StreamTimeouts.h
+++ b/Libraries/LibFleet/StreamTimeouts.h
@@ -11,7 +11,9 @@
 
 /// Until the first event of a prompt that is expected after `aExpectedMs`.
 duration
-FirstEventTimeout(const engine_work& aWork, double aExpectedMs, bool aDivided);
+FirstEventTimeout(const placement_request& aWork,
+                  double aExpectedMs,
+                  bool aDivided);
 
 /// Between two events of a stream that may pause for so long.
 duration
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -79,7 +79,7 @@
   void Dispatch();
   bool ChooseEngines();
   bool ChoosePlain();
-  engine_work WorkOf() const;
+  placement_request WorkOf() const;
   /// Within which the answer is in time; all of its time where the route
   /// declares none, since 0 would make every answer late and every endpoint
   /// silent.
@@ -87,7 +87,8 @@
   /// Weighs the request again a moment later.
   void WaitForPlace(const engine_choice& aChoice);
   void TurnAway(const engine_choice& aChoice);
-  void NotePlacement(const engine_choice& aChoice, const engine_work& aWork);
+  void NotePlacement(const engine_choice& aChoice,
+                     const placement_request& aWork);
   void SetMemoryAside(const engine_choice& aChoice);
   void SendToEngines(const endpoint& aWriter,
                      const std::vector<endpoint>& aReaders,
@@ -130,8 +131,8 @@
   void RefuseUnplaced();
   /// The endpoint works: something came from it.
   void NoteHeard(const attempt& aAttempt);
-  void Sign(const attempt& aAttempt, endpoint_sign aSign);
-  void Sign(known_endpoint& aEndpoint, endpoint_sign aSign);
+  void Sign(const attempt& aAttempt, endpoint_health_event aSign);
+  void Sign(known_endpoint& aEndpoint, endpoint_health_event aSign);
   /// The engine that a refusal names, if it is another than the one that sent
   /// it: one that was to read a part of the prompt and would not.
   known_endpoint* RefusingHelper(const attempt& aAttempt);
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 void
-exchange::Sign(const attempt& aAttempt, endpoint_sign aSign)
+exchange::Sign(const attempt& aAttempt, endpoint_health_event aSign)
 {
   if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
     Sign(*known, aSign);
@@ -38,22 +38,23 @@
 }
 
 void
-exchange::Sign(known_endpoint& aEndpoint, endpoint_sign aSign)
+exchange::Sign(known_endpoint& aEndpoint, endpoint_health_event aSign)
 {
   const time_point now = mContext.mLoop.Now();
-  const bool was = Avoided(aEndpoint, now);
-  NoteSign(aEndpoint.mHealth, aSign, now);
-  if (aSign == endpoint_sign::Broke || aSign == endpoint_sign::Silent ||
-      aSign == endpoint_sign::Unreachable) {
+  const bool was = IsAvoided(aEndpoint, now);
+  RecordHealthEvent(aEndpoint.mHealth, aSign, now);
+  if (aSign == endpoint_health_event::ConnectionBroken ||
+      aSign == endpoint_health_event::Silent ||
+      aSign == endpoint_health_event::Unreachable) {
     mContext.mOutbox.AnnounceEndpointFailure(EngineKey(aEndpoint.mListed.mId));
   }
-  if (!was && Avoided(aEndpoint, now)) {
+  if (!was && IsAvoided(aEndpoint, now)) {
     Log(log_level::Warning,
         "endpoint_avoided",
         { { "endpoint", aEndpoint.mListed.mId },
           { "address", aEndpoint.mListed.mAddress.Text() },
           { "request", mFacts.mId },
-          { "strikes", aEndpoint.mHealth.mStrikes },
+          { "strikes", aEndpoint.mHealth.mBackoffFailures },
           { "for_ms", Milliseconds(aEndpoint.mHealth.mAvoidUntil - now) } });
   }
 }
@@ -77,7 +78,7 @@
 void
 exchange::LeaveOutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
-  Sign(aHelper, endpoint_sign::Unwilling);
+  Sign(aHelper, endpoint_health_event::PrefillHelpRefused);
   mContext.mOutbox.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
   LeaveEndpoint();
   // The engine that was sent the prompt did nothing and may be sent it again:
@@ -105,10 +106,10 @@
 exchange::NoteLoad(const attempt& aAttempt)
 {
   if (mService->mEngine.has_value() && aAttempt.Facts().mBusyWith.has_value()) {
-    NoteSaid(mContext.mBoard.mLedger,
-             EngineKey(aAttempt.Endpoint().mId),
-             *aAttempt.Facts().mBusyWith,
-             mContext.mLoop.Now());
+    SetReportedRequests(mContext.mBoard.mLedger,
+                        EngineKey(aAttempt.Endpoint().mId),
+                        *aAttempt.Facts().mBusyWith,
+                        mContext.mLoop.Now());
   }
 }
 
@@ -213,7 +214,7 @@
   const unsigned status = aAttempt.Head().mStatus;
   mContext.mCrashes.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
-    Sign(aAttempt, endpoint_sign::Failed);
+    Sign(aAttempt, endpoint_health_event::Failed);
     if (HasAlternative() && MayRepeat()) {
       mMayHaveRun = true;
       LeaveEndpoint();
@@ -221,7 +222,7 @@
       return;
     }
   } else {
-    Sign(aAttempt, endpoint_sign::Answered);
+    Sign(aAttempt, endpoint_health_event::Answered);
   }
   if (!mStreaming) {
     if (mHeadWritten) {
@@ -303,7 +304,7 @@
   const bool elsewhere = aAttempt.Facts().mElsewhere;
   switch (aEnd) {
     case attempt_end::Unreached:
-      Sign(aAttempt, endpoint_sign::Unreachable);
+      Sign(aAttempt, endpoint_health_event::Unreachable);
       if (aAttempt.ConnectionRefused()) {
         mContext.mCrashes.OnEndpointCrashed(id, "refused");
       }
@@ -333,7 +334,7 @@
       NoteLoad(aAttempt);
       NoteLimit(aAttempt);
       if (elsewhere) {
-        Sign(aAttempt, endpoint_sign::Elsewhere);
+        Sign(aAttempt, endpoint_health_event::AddressReassigned);
         mContext.mCrashes.OnEndpointCrashed(id, "address_of_another");
       }
       if (known_endpoint* const helper = RefusingHelper(aAttempt);
@@ -352,7 +353,7 @@
       NoteBroken(aAttempt, true);
       [[fallthrough]];
     case attempt_end::Broken:
-      Sign(aAttempt, endpoint_sign::Broke);
+      Sign(aAttempt, endpoint_health_event::ConnectionBroken);
       mMayHaveRun = true;
       LeaveEndpoint();
       if (HasAlternative() && MayRepeat()) {
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -52,7 +52,7 @@
 exchange::ChooseEngines()
 {
   gateway_board& board = mContext.mBoard;
-  const engine_work work = WorkOf();
+  const placement_request work = WorkOf();
   const std::optional<engine_choice> choice =
     PlaceOnEngines(board.mEndpoints,
                    board.mLedger,
@@ -67,30 +67,31 @@
   // What was taken on is not turned away when it has to go on elsewhere.
   const bool takenOn = !mTried.empty();
   switch (choice->mVerdict) {
-    case engine_verdict::Send:
+    case placement_verdict::Send:
       break;
-    case engine_verdict::Wait:
+    case placement_verdict::Wait:
       if (takenOn || board.mDraining) {
         break;
       }
       WaitForPlace(*choice);
       return true;
-    case engine_verdict::TurnAway:
+    case placement_verdict::TurnAway:
       if (takenOn) {
         break;
       }
       [[fallthrough]];
-    case engine_verdict::NoMemory:
+    case placement_verdict::NoMemory:
       TurnAway(*choice);
       return true;
   }
-  TakeToken(choice->mWriter->mLimit, mContext.mLoop.Now());
+  TakeToken(choice->mDecodeEngine->mLimit, mContext.mLoop.Now());
   NotePlacement(*choice, work);
   if (choice->mHolders > 0) {
     SetMemoryAside(*choice);
     return true;
   }
-  SendToEngines(choice->mWriter->mListed, Listed(choice->mReaders), 0);
+  SendToEngines(
+    choice->mDecodeEngine->mListed, Listed(choice->mPrefillHelpers), 0);
   return true;
 }
 
@@ -101,21 +102,21 @@
                                                : mDeadline - mBegan;
 }
 
-engine_work
+placement_request
 exchange::WorkOf() const
 {
-  engine_work work;
+  placement_request work;
   work.mService = mService->mName;
   work.mPromptTokens = mFacts.mPromptTokens;
   work.mAnswerTokens =
-    std::min(mFacts.mMostAnswerTokens, mService->mEngine->mUsualAnswerTokens);
+    std::min(mFacts.mMostAnswerTokens, mService->mEngine->mMeanAnswerTokens);
   work.mObjective = Objective();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
                          : work.mObjective;
-  work.mWorth = WorthOfWork(work.mPromptTokens);
+  work.mWorth = WorthOfPrompt(work.mPromptTokens);
   work.mElapsed = mContext.mLoop.Now() - mBegan;
-  work.mOrderSeed = mContext.mBoard.mBoot;
+  work.mTieBreakSeed = mContext.mBoard.mBoot;
   return work;
 }
 
@@ -133,7 +134,7 @@
           { "harm", TotalHarm(aChoice.mHarm) },
           { "price", aChoice.mPrice } });
   }
-  mReweighTimer = mContext.mLoop.After(kReweighInterval, [this]() {
+  mReweighTimer = mContext.mLoop.After(kReevaluationInterval, [this]() {
     const std::shared_ptr<exchange> self = shared_from_this();
     mReweighTimer = 0;
     Dispatch();
@@ -143,7 +144,7 @@
 void
 exchange::TurnAway(const engine_choice& aChoice)
 {
-  const bool fits = aChoice.mVerdict != engine_verdict::NoMemory;
+  const bool fits = aChoice.mVerdict != placement_verdict::NoMemory;
   const duration after = TimeUntilAccepted(mContext.mBoard.mEndpoints,
                                            mContext.mBoard.mLedger,
                                            *mService->mEngine,
@@ -158,16 +159,16 @@
       { { "request", mFacts.mId },
         { "prompt_tokens", mFacts.mPromptTokens },
         { "fits", static_cast<int>(fits) },
-        { "helpers", aChoice.mReaders.size() },
-        { "part_ms", aChoice.mPartMs },
+        { "helpers", aChoice.mPrefillHelpers.size() },
+        { "part_ms", aChoice.mPartPrefillMs },
         { "expected_ms", aChoice.mFirstEventMs },
         { "gain", aChoice.mGain },
         { "harm", TotalHarm(aChoice.mHarm) },
         { "harm_streams", aChoice.mHarm.mStreams },
-        { "harm_readings", aChoice.mHarm.mReadings },
-        { "harm_holding", aChoice.mHarm.mHolding },
+        { "harm_readings", aChoice.mHarm.mPrefills },
+        { "harm_holding", aChoice.mHarm.mFutureRequests },
         { "price", aChoice.mPrice },
-        { "price_of_second", aChoice.mPriceOfSecond },
+        { "price_of_second", aChoice.mPrefillSecondPrice },
         { "retry_after_ms", Milliseconds(after) } });
   GiveUp(error_kind::Overloaded,
          fits ? "costs_others_more" : "no_memory",
@@ -175,15 +176,16 @@
 }
 
 void
-exchange::NotePlacement(const engine_choice& aChoice, const engine_work& aWork)
+exchange::NotePlacement(const engine_choice& aChoice,
+                        const placement_request& aWork)
 {
   gateway_board& board = mContext.mBoard;
-  placement placed = PlacementOf(
+  placement placed = MakePlacement(
     aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacement));
   placed.mOwner = board.mBoot;
   placed.mBegan = mBegan;
   placed.mExpires = mDeadline;
-  NotePlaced(board.mLedger, placed, mContext.mLoop.Now());
+  AddPlacement(board.mLedger, placed, mContext.mLoop.Now());
   mContext.mOutbox.AnnouncePlacement(placed);
   mPlacement = placed.mKey;
   mExpectedMs = aChoice.mFirstEventMs;
@@ -192,12 +194,12 @@
       { { "request", mFacts.mId },
         { "route", mRoute->mName },
         { "organisation", mOrganisation },
-        { "endpoint", aChoice.mWriter->mListed.mId },
-        { "helpers", aChoice.mReaders.size() },
+        { "endpoint", aChoice.mDecodeEngine->mListed.mId },
+        { "helpers", aChoice.mPrefillHelpers.size() },
         { "holders", aChoice.mHolders },
-        { "readers", IdsOf(aChoice.mReaders) },
+        { "readers", IdsOf(aChoice.mPrefillHelpers) },
         { "prompt_tokens", mFacts.mPromptTokens },
-        { "part_ms", aChoice.mPartMs },
+        { "part_ms", aChoice.mPartPrefillMs },
         { "expected_ms", aChoice.mFirstEventMs },
         { "waited_ms", mWaited ? Milliseconds(aWork.mElapsed) : 0 },
         { "harm", TotalHarm(aChoice.mHarm) },
@@ -208,8 +210,8 @@
 void
 exchange::SetMemoryAside(const engine_choice& aChoice)
 {
-  const std::vector<endpoint> readers = Listed(aChoice.mReaders);
-  const endpoint writer = aChoice.mWriter->mListed;
+  const std::vector<endpoint> readers = Listed(aChoice.mPrefillHelpers);
+  const endpoint writer = aChoice.mDecodeEngine->mListed;
   const std::size_t holders = aChoice.mHolders;
   mMemory = std::make_shared<memory_hold>(
     mContext.mLoop,
@@ -381,7 +383,7 @@
     return;
   }
   LogSilence();
-  Sign(*mAttempt, endpoint_sign::Silent);
+  Sign(*mAttempt, endpoint_health_event::Silent);
   NoteBroken(*mAttempt, true);
   mMayHaveRun = mMayHaveRun || mAttempt->Sent();
   LeaveEndpoint();
@@ -411,7 +413,7 @@
   const known_endpoint* const known = Known(aAttempt);
   const engine_load* const load = LoadOf(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
-         load->mWriting.size() >= mService->mEngine->mSlots &&
+         load->mDecoding.size() >= mService->mEngine->mSlots &&
          mContext.mLoop.Now() - known->mHeard < kWorksIfHeardWithin;
 }
 
@@ -431,7 +433,7 @@
         { "events", mCursor.Count() },
         { "helpers", mHelpers },
         { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
-        { "writing", load == nullptr ? 0 : load->mWriting.size() },
+        { "writing", load == nullptr ? 0 : load->mDecoding.size() },
         { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
         { "heard_ms", heard ? Milliseconds(now - known->mHeard) : -1 } });
 }
@@ -452,7 +454,7 @@
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
-    if (Admissible(known, mService->mName, mContext.mLoop.Now()) &&
+    if (IsAdmissible(known, mService->mName, mContext.mLoop.Now()) &&
         std::find(mPassedOver.begin(), mPassedOver.end(), id) ==
           mPassedOver.end()) {
       return true;
@@ -515,7 +517,8 @@
       mContext.mOutbox.AnnouncePlacementEnd(
         *mPlacement, end, placed->second.mEngines);
     }
-    NoteEnded(mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
+    RemovePlacement(
+      mContext.mBoard.mLedger, *mPlacement, end, mContext.mLoop.Now());
     mPlacement.reset();
   }
 }
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -35,18 +35,18 @@
 constexpr unsigned kNotReady = 503;
 
 std::string_view
-ListingName(listing aListing)
+ListingName(membership_change aListing)
 {
   switch (aListing) {
-    case listing::Unchanged:
+    case membership_change::Unchanged:
       return "unchanged";
-    case listing::Joined:
+    case membership_change::Joined:
       return "joined";
-    case listing::Leaving:
+    case membership_change::Leaving:
       return "leaving";
-    case listing::Left:
+    case membership_change::Left:
       return "left";
-    case listing::Changed:
+    case membership_change::Changed:
       return "changed";
   }
   return "";
@@ -253,9 +253,10 @@
 }
 
 void
-gateway::NoteListing(const std::string& aId, listing aListing)
+gateway::NoteListing(const std::string& aId, membership_change aListing)
 {
-  if (aListing == listing::Unchanged || aListing == listing::Changed) {
+  if (aListing == membership_change::Unchanged ||
+      aListing == membership_change::Changed) {
     return;
   }
   Log(log_level::Info,
@@ -263,13 +264,13 @@
       { { "endpoint", aId },
         { "change", ListingName(aListing) },
         { "known", mBoard.mEndpoints.mEndpoints.size() } });
-  if (aListing != listing::Joined) {
+  if (aListing != membership_change::Joined) {
     mConnections.CloseIdle(aId);
   }
-  if (aListing == listing::Leaving) {
+  if (aListing == membership_change::Leaving) {
     mCrashes.OnEndpointDraining(aId);
   }
-  if (aListing == listing::Left) {
+  if (aListing == membership_change::Left) {
     mCrashes.OnEndpointUnlisted(aId);
   }
 }
@@ -314,8 +315,8 @@
   mBoard.mListAsOf = std::max(mBoard.mListAsOf, aReading.mRevision);
   if (aWhole) {
     for (const std::string& id :
-         ApplyWholeList(mBoard.mEndpoints, rows, aReading.mRevision)) {
-      NoteListing(id, listing::Left);
+         ApplySnapshot(mBoard.mEndpoints, rows, aReading.mRevision)) {
+      NoteListing(id, membership_change::Left);
       mEndpointRows.erase(id);
     }
     mBoard.mEndpointsKnown = true;
@@ -392,7 +393,7 @@
 {
   FlushLog();
   mConnections.CloseOverdue();
-  ForgetExpired(mBoard.mLedger, mLoop.Now());
+  RemoveExpiredPlacements(mBoard.mLedger, mLoop.Now());
   mCrashes.Tick();
   if (mBoard.mDraining) {
     CheckDrained();
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -42,7 +42,7 @@
   bool TakeManifest(const row_change<std::string>& aRow);
   void OnEndpoints(const table_reading& aReading, bool aWhole);
   void KeepRows(const std::vector<row_change<std::string>>& aRows);
-  void NoteListing(const std::string& aId, listing aListing);
+  void NoteListing(const std::string& aId, membership_change aListing);
   /// Asks one of the peers that say they know more, and another if that one
   /// gives no answer.
   void AskPeers();
--- a/Libraries/LibGateway/GatewayBoard.h
+++ b/Libraries/LibGateway/GatewayBoard.h
@@ -50,7 +50,7 @@
   manifest_pointer mManifest;
   time_point mManifestSince{};
   bool mEndpointsKnown = false;
-  endpoint_board mEndpoints;
+  endpoint_registry mEndpoints;
   /// The store showed the list as of this revision, whether or not a row has
   /// it.
   std::uint64_t mListAsOf = 0;
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -22,7 +22,7 @@
     mostReading = std::max(mostReading, seconds);
     memory += load.mTokens;
     mostMemory = std::max(mostMemory, load.mTokens);
-    writing += static_cast<double>(load.mWriting.size());
+    writing += static_cast<double>(load.mDecoding.size());
   }
   metrics& out = aBoard.mMetrics;
   out.Set("gateway_promised_reading_seconds", reading);
@@ -94,7 +94,7 @@
 }
 
 std::int64_t
-CountPreferred(const endpoint_board& aBoard)
+CountPreferred(const endpoint_registry& aBoard)
 {
   return std::count_if(
     aBoard.mEndpoints.begin(), aBoard.mEndpoints.end(), [](const auto& aEntry) {
@@ -116,7 +116,7 @@
     static_cast<double>(std::count_if(
       aBoard.mEndpoints.mEndpoints.begin(),
       aBoard.mEndpoints.mEndpoints.end(),
-      [aNow](const auto& aEntry) { return Avoided(aEntry.second, aNow); })));
+      [aNow](const auto& aEntry) { return IsAvoided(aEntry.second, aNow); })));
   out.Set("gateway_requests_held",
           static_cast<double>(aBoard.mQuarantine.mHeld.size()));
   out.Set("gateway_requests_suspected",
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -332,7 +332,7 @@
     }
     own.push_back(placed);
     // Reading that was placed a while ago is mostly done.
-    own.back().mPartMs = 0;
+    own.back().mPartPrefillMs = 0;
     if (own.size() == kMaxPlacementsPerDatagram) {
       Send(EncodePeerMessage(message, mLoop.Now()), aHost);
       own.clear();
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -28,7 +28,7 @@
 
 /// The endpoint that peers name by this key; null if it is not listed here.
 known_endpoint*
-FindByKey(endpoint_board& aBoard, engine_key aKey)
+FindByKey(endpoint_registry& aBoard, engine_key aKey)
 {
   for (auto& [id, known] : aBoard.mEndpoints) {
     if (EngineKey(id) == aKey) {
@@ -83,8 +83,8 @@
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  RankEntries(aBoard.mRing, hosts);
-  RankEngines(aBoard.mRing, aBoard.mEndpoints);
+  AssignGatewayPositions(aBoard.mRing, hosts);
+  AssignEnginePositions(aBoard.mRing, aBoard.mEndpoints);
   MarkPreferred(aBoard.mEndpoints, aBoard.mRing, aOwnHost);
   aBoard.mRingStale = false;
 }
@@ -182,7 +182,7 @@
       "endpoint_avoided",
       { { "endpoint", known->mListed.mId },
         { "told_by", aHost },
-        { "strikes", known->mHealth.mStrikes },
+        { "strikes", known->mHealth.mBackoffFailures },
         { "for_ms", Milliseconds(known->mHealth.mAvoidUntil - now) } });
 }
 
@@ -241,7 +241,7 @@
         "peer_lost",
         { { "host", peer->first },
           { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
-    ForgetOwner(mBoard.mLedger, peer->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, peer->second.mBoot, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
     mBoard.mRingStale = true;
@@ -286,7 +286,7 @@
   const bool isNew =
     known == mBoard.mPeers.end() || known->second.mBoot != aMessage.mBoot;
   if (known != mBoard.mPeers.end() && isNew) {
-    ForgetOwner(mBoard.mLedger, known->second.mBoot, now);
+    RemovePlacementsOfOwner(mBoard.mLedger, known->second.mBoot, now);
   }
   mBoard.mPeers[aHost] = {
     aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
@@ -307,22 +307,23 @@
   mBoard.mMetrics.Count("gateway_placements_heard_total",
                         static_cast<double>(aNews.mPlaced.size()));
   for (const placement& placed : aNews.mPlaced) {
-    NotePlaced(mBoard.mLedger, placed, now);
+    AddPlacement(mBoard.mLedger, placed, now);
   }
   for (const placement_key key : aNews.mEnded) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Read, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Read, now);
   }
   for (const placement_key key : aNews.mUnread) {
-    NoteEnded(mBoard.mLedger, key, placement_end::Unread, now);
+    RemovePlacement(mBoard.mLedger, key, placement_end::Unread, now);
   }
   for (const engine_key engine : aNews.mHelpRefused) {
     ApplyEndpointUpdate(
       engine, aHost, [](endpoint_health& aHealth, time_point aNow) {
-        NoteSign(aHealth, endpoint_sign::Unwilling, aNow);
+        RecordHealthEvent(
+          aHealth, endpoint_health_event::PrefillHelpRefused, aNow);
       });
   }
   for (const engine_key endpoint : aNews.mTroubled) {
-    ApplyEndpointUpdate(endpoint, aHost, NoteTold);
+    ApplyEndpointUpdate(endpoint, aHost, RecordPeerFailureReport);
   }
   for (const limit_report& limit : aNews.mLimits) {
     if (known_endpoint* const known =
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -82,7 +82,7 @@
   WriteNumbers(
     aWork.initEngines(static_cast<unsigned>(aPlaced.mEngines.size())),
     aPlaced.mEngines);
-  aWork.setPartMicros(Whole(aPlaced.mPartMs * kMicrosInMs));
+  aWork.setPartMicros(Whole(aPlaced.mPartPrefillMs * kMicrosInMs));
   aWork.setPauseMs(WholeMs(aPlaced.mLongestPause));
   aWork.setTokens(Whole(aPlaced.mTokens));
   aWork.setLifeMs(WholeMs(aPlaced.mExpires - aNow));
@@ -104,7 +104,7 @@
   told.mKey = PlacementKey(aOwner, aWork.getSequence());
   told.mOwner = aOwner;
   told.mEngines = ReadNumbers(aWork.getEngines());
-  told.mPartMs = aWork.getPartMicros() / kMicrosInMs;
+  told.mPartPrefillMs = aWork.getPartMicros() / kMicrosInMs;
   told.mLongestPause = std::chrono::milliseconds(aWork.getPauseMs());
   told.mObjective = std::chrono::milliseconds(aWork.getObjectiveMs());
   told.mBegan = aNow - std::chrono::milliseconds(aWork.getElapsedMs());
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -22,7 +22,7 @@
   placed.mKey = PlacementKey(kBoot, 7001);
   placed.mOwner = kBoot;
   placed.mEngines = { EngineKey("i-4a5b6c7d8e") };
-  placed.mPartMs = 32.125;
+  placed.mPartPrefillMs = 32.125;
   placed.mLongestPause = milliseconds(250);
   placed.mWorth = 1.25;
   placed.mTokens = 6267;
@@ -125,7 +125,7 @@
   static sized_fleet FleetOf(std::size_t aEntries, std::size_t aEngines)
   {
     std::vector<std::string> hosts = test::Hosts(aEntries);
-    const endpoint_board board = test::Engines(aEngines);
+    const endpoint_registry board = test::Engines(aEngines);
     sized_fleet fleet;
     fleet.mRing = test::Ring(hosts, board);
     for (const std::string& id :
--- a/Tests/Unit/RingFixture.h
+++ b/Tests/Unit/RingFixture.h
@@ -20,10 +20,10 @@
   return hosts;
 }
 
-inline endpoint_board
+inline endpoint_registry
 Engines(std::size_t aCount)
 {
-  endpoint_board board;
+  endpoint_registry board;
   for (std::size_t i = 0; i < aCount; ++i) {
     endpoint listed;
     listed.mId = "engine-" + std::to_string(i);
@@ -35,11 +35,11 @@
 }
 
 inline subset_ring
-Ring(const std::vector<std::string>& aHosts, const endpoint_board& aBoard)
+Ring(const std::vector<std::string>& aHosts, const endpoint_registry& aBoard)
 {
   subset_ring ring;
-  RankEngines(ring, aBoard);
-  RankEntries(ring, aHosts);
+  AssignEnginePositions(ring, aBoard);
+  AssignGatewayPositions(ring, aHosts);
   return ring;
 }
 
@@ -47,7 +47,7 @@
 inline std::vector<std::string>
 PreferredBy(const subset_ring& aRing,
             const std::string& aHost,
-            endpoint_board aBoard)
+            endpoint_registry aBoard)
 {
   MarkPreferred(aBoard, aRing, aHost);
   std::vector<std::string> ids;
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -30,7 +30,7 @@
   engine_timing timing = SampleEngine();
   timing.mSlots = kSlots;
   timing.mStepsPerPass = 80;
-  timing.mUsualAnswerTokens = 1900;
+  timing.mMeanAnswerTokens = 1900;
   return timing;
 }
 
@@ -49,18 +49,20 @@
   }
 
   /// Places one prompt at an entry; true if its engine had a free slot.
-  bool Place(std::size_t aEntry, time_point aNow, const engine_work& aWork)
+  bool Place(std::size_t aEntry,
+             time_point aNow,
+             const placement_request& aWork)
   {
     Deliver(aNow);
     entry& at = mEntries[aEntry];
     const engine_choice choice =
       *PlaceOnEngines(at.mBoard, at.mLedger, Timing(), aWork, {}, "a", aNow);
-    placement placed = PlacementOf(choice, aWork, ++mLast);
+    placement placed = MakePlacement(choice, aWork, ++mLast);
     placed.mBegan = aNow;
     placed.mExpires = kStart + std::chrono::hours(1);
-    NotePlaced(at.mLedger, placed, aNow);
+    AddPlacement(at.mLedger, placed, aNow);
     mOnTheWay.push_back({ aNow + kNewsDelay, aEntry, placed });
-    return ++mWriting[placed.mEngines.front()] <= kSlots;
+    return ++mDecoding[placed.mEngines.front()] <= kSlots;
   }
 
 private:
@@ -69,7 +71,7 @@
 
   struct entry
   {
-    endpoint_board mBoard;
+    endpoint_registry mBoard;
     engine_ledger mLedger;
   };
   struct news
@@ -87,7 +89,7 @@
       for (std::size_t i = 0; i < mEntries.size(); ++i) {
         if (i != one.mFrom &&
             Prefers(mRing, mHosts[i], one.mPlaced.mEngines.front())) {
-          NotePlaced(mEntries[i].mLedger, one.mPlaced, one.mDue);
+          AddPlacement(mEntries[i].mLedger, one.mPlaced, one.mDue);
         }
       }
     }
@@ -97,7 +99,7 @@
   subset_ring mRing;
   std::vector<entry> mEntries;
   std::deque<news> mOnTheWay;
-  std::map<engine_key, std::size_t> mWriting;
+  std::map<engine_key, std::size_t> mDecoding;
   placement_key mLast = 0;
 };
 
@@ -120,7 +122,7 @@
   void SmallFleetKnowsAll()
   {
     const std::vector<std::string> hosts = Hosts(32);
-    const endpoint_board board = Engines(69);
+    const endpoint_registry board = Engines(69);
     const subset_ring ring = Ring(hosts, board);
     for (const std::string& host : hosts) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{ 69 },
@@ -133,17 +135,17 @@
   void LoadIsSpreadEvenly()
   {
     const std::vector<std::string> hosts = Hosts(350);
-    const endpoint_board board = Engines(1200);
+    const endpoint_registry board = Engines(1200);
     const subset_ring ring = Ring(hosts, board);
     for (const auto& [id, known] : board.mEndpoints) {
       const double entries =
         static_cast<double>(CountPreferring(ring, hosts, id));
-      CPPUNIT_ASSERT(std::abs(entries - kEntriesPerEngine) <= 1);
+      CPPUNIT_ASSERT(std::abs(entries - kGatewaysPerEngine) <= 1);
     }
     for (const std::string& host : hosts) {
       const double engines =
         static_cast<double>(PreferredBy(ring, host, board).size());
-      CPPUNIT_ASSERT(std::abs(engines - 1200 * kEntriesPerEngine / 350) <= 1);
+      CPPUNIT_ASSERT(std::abs(engines - 1200 * kGatewaysPerEngine / 350) <= 1);
     }
   }
 
@@ -153,12 +155,12 @@
   void OneMoreMovesArcsByOnePlace()
   {
     std::vector<std::string> hosts = Hosts(103);
-    const endpoint_board board = Engines(172);
+    const endpoint_registry board = Engines(172);
     const subset_ring before = Ring(hosts, board);
     const std::string gone = hosts[50];
     hosts.erase(hosts.begin() + 50);
     const subset_ring after = Ring(hosts, board);
-    const endpoint_board oneMore = Engines(173);
+    const endpoint_registry oneMore = Engines(173);
     const subset_ring withOneMore = Ring(hosts, oneMore);
     for (const std::string& host : hosts) {
       const std::vector<std::string> old = PreferredBy(before, host, board);
@@ -182,7 +184,7 @@
   void HalfOfTheEntriesReachEveryEngine()
   {
     const std::vector<std::string> hosts = Hosts(350);
-    const endpoint_board board = Engines(1200);
+    const endpoint_registry board = Engines(1200);
     const subset_ring ring = Ring(hosts, board);
     random_engine random(7);
     for (int round = 0; round < 20; ++round) {
@@ -200,7 +202,7 @@
 
   void StrangersArePreferred()
   {
-    const endpoint_board board = Engines(172);
+    const endpoint_registry board = Engines(172);
     const subset_ring ring = Ring(Hosts(103), board);
     CPPUNIT_ASSERT(Prefers(ring, "10.9.9.9", EngineKey("engine-1")));
     CPPUNIT_ASSERT(Prefers(ring, Hosts(1).front(), EngineKey("unheard-of")));
@@ -209,7 +211,7 @@
 
   void EachServiceHasAnOrderOfItsOwn()
   {
-    endpoint_board board = Engines(172);
+    endpoint_registry board = Engines(172);
     for (int i = 0; i < 8; ++i) {
       endpoint listed;
       listed.mId = "other-" + std::to_string(i);
@@ -229,20 +231,22 @@
   /// idle. Cause: all engines that its entry prefers are leaving or were tried.
   void OthersAreTakenWhenNoPreferredIsUsable()
   {
-    endpoint_board board = Engines(172);
+    endpoint_registry board = Engines(172);
     const std::vector<std::string> hosts = Hosts(103);
     MarkPreferred(board, Ring(hosts, board), hosts.front());
     for (auto& [id, known] : board.mEndpoints) {
       known.mListed.mLeaving = known.mPreferred;
     }
-    const engine_work clip{
-      "model",          5000, 1900, milliseconds(300), milliseconds(400),
-      WorthOfWork(5000)
-    };
+    const placement_request clip{ "model",
+                                  5000,
+                                  1900,
+                                  milliseconds(300),
+                                  milliseconds(400),
+                                  WorthOfPrompt(5000) };
     const std::optional<engine_choice> choice =
       PlaceOnEngines(board, {}, Timing(), clip, {}, "a", kStart);
     CPPUNIT_ASSERT(choice.has_value());
-    CPPUNIT_ASSERT(!choice->mWriter->mListed.mLeaving);
+    CPPUNIT_ASSERT(!choice->mDecodeEngine->mListed.mLeaving);
   }
 
   /// Symptom: in a burst of short prompts before 172 engines two of five first
@@ -264,11 +268,13 @@
     std::size_t waiting = 0;
     for (std::size_t i = 0; i < kPrompts; ++i) {
       const std::size_t entry = Below(random, kEntries);
-      engine_work clip{
-        "model",          5000, 1900, milliseconds(300), milliseconds(400),
-        WorthOfWork(5000)
-      };
-      clip.mOrderSeed = Hash("entry", entry);
+      placement_request clip{ "model",
+                              5000,
+                              1900,
+                              milliseconds(300),
+                              milliseconds(400),
+                              WorthOfPrompt(5000) };
+      clip.mTieBreakSeed = Hash("entry", entry);
       const time_point now = kStart + static_cast<int>(i) * kGap;
       waiting += world.Place(entry, now, clip) ? 0 : 1;
     }
--- a/Utilities/Bench/GatewayCosts.cpp
+++ b/Utilities/Bench/GatewayCosts.cpp
@@ -18,16 +18,16 @@
 constexpr double kShortPrompt = 5000;
 constexpr double kLongPrompt = 154000;
 
-engine_work
+placement_request
 Work(double aTokens)
 {
-  engine_work work;
+  placement_request work;
   work.mService = "model";
   work.mPromptTokens = aTokens;
   work.mAnswerTokens = 1600;
   work.mLongestPause = std::chrono::milliseconds(250);
   work.mObjective = std::chrono::milliseconds(300);
-  work.mWorth = WorthOfWork(aTokens);
+  work.mWorth = WorthOfPrompt(aTokens);
   return work;
 }
 
@@ -44,7 +44,7 @@
       (void)ApplyRow(mBoard, { listed.mId, 1, listed });
       constexpr int kStreams = 10;
       for (int stream = 0; i % 3 == 0 && stream < kStreams; ++stream) {
-        NotePlaced(mLedger, Placed(EngineKey(listed.mId)), kStart);
+        AddPlacement(mLedger, Placed(EngineKey(listed.mId)), kStart);
       }
     }
   }
@@ -54,7 +54,7 @@
     placement placed;
     placed.mKey = ++mLast;
     placed.mEngines.push_back(aEngine);
-    placed.mPartMs = 1;
+    placed.mPartPrefillMs = 1;
     placed.mLongestPause = std::chrono::milliseconds(250);
     placed.mWorth = 1;
     placed.mTokens = kShortPrompt;
@@ -62,7 +62,7 @@
     return placed;
   }
 
-  endpoint_board mBoard;
+  endpoint_registry mBoard;
   engine_ledger mLedger;
   placement_key mLast = 0;
 };
@@ -72,7 +72,7 @@
 {
   busy_fleet fleet(aState.range(0));
   const engine_timing timing = SampleEngine();
-  const engine_work work = Work(aTokens);
+  const placement_request work = Work(aTokens);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(PlaceOnEngines(
       fleet.mBoard, fleet.mLedger, timing, work, {}, "a", kStart));
@@ -97,8 +97,8 @@
   const engine_key engine = EngineKey("i-00000000");
   for (auto _ : aState) {
     const placement placed = fleet.Placed(engine);
-    NotePlaced(fleet.mLedger, placed, kStart);
-    NoteEnded(fleet.mLedger, placed.mKey, placement_end::Read, kStart);
+    AddPlacement(fleet.mLedger, placed, kStart);
+    RemovePlacement(fleet.mLedger, placed.mKey, placement_end::Read, kStart);
   }
 }
 BENCHMARK(PlacementNotedAndEnded)->Arg(21)->Arg(1200);
--- a/Utilities/Bench/SampleEngine.h
+++ b/Utilities/Bench/SampleEngine.h
@@ -13,13 +13,13 @@
   engine_timing timing;
   timing.mSlots = 16;
   timing.mMemoryTokens = 315000;
-  timing.mTokensReadPerMs = 177;
-  timing.mMsPerMillionPairs = 0.184;
+  timing.mPrefillTokensPerMs = 177;
+  timing.mPrefillMsPerMillionPairs = 0.184;
   timing.mStepMs = 0.85;
   timing.mStepMsPerRequest = 0.00425;
-  timing.mStepMsPerThousand = 0.00285;
+  timing.mStepMsPerThousandTokens = 0.00285;
   timing.mStepsPerPass = 51;
-  timing.mUsualAnswerTokens = 1600;
+  timing.mMeanAnswerTokens = 1600;
   return timing;
 }
 
