--- a/Libraries/LibGateway/Attempt.h
+++ b/Libraries/LibGateway/Attempt.h
@@ -2,7 +2,7 @@
 
 /// One sending of a request to one endpoint, until its answer has ended.
 
-#include "LibGateway/EndpointConnections.h"
+#include "LibGateway/EndpointConnectionPool.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/EndpointConnections.cpp
+++ b/Libraries/LibGateway/EndpointConnectionPool.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/EndpointConnections.h"
+#include "LibGateway/EndpointConnectionPool.h"
 
 #include <algorithm>
 #include <limits>
--- a/Libraries/LibGateway/EndpointConnections.h
+++ b/Libraries/LibGateway/EndpointConnectionPool.h
@@ -3,7 +3,7 @@
 /// Kept connections to endpoints: each serves one request at a time and is
 /// used again while the endpoint keeps it.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 #include <deque>
 
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -5,7 +5,7 @@
 #include "LibGateway/Attempt.h"
 #include "LibGateway/CrashDetector.h"
 #include "LibGateway/GossipSender.h"
-#include "LibGateway/MemoryHold.h"
+#include "LibGateway/MemoryReservation.h"
 
 #include <memory>
 
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -4,7 +4,7 @@
 /// one request. docs/OPERATIONS.md lists all of them. Engines are summed up:
 /// with a series for each of 1,200 a reading would be half a megabyte.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -3,7 +3,7 @@
 /// The platform's table of entries: this one leaves its address there, and
 /// learns once who else has. From then on entries tell each other of others.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -3,7 +3,7 @@
 /// What this entry tells the others by datagram: gathered for some milliseconds
 /// and sent to those whom it concerns.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 #include "LibGateway/PeerMessage.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/LibGateway.h
+++ b/Libraries/LibGateway/LibGateway.h
@@ -6,4 +6,4 @@
 
 #include "LibGateway/Adapter.h"
 #include "LibGateway/Gateway.h"
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
--- a/Libraries/LibGateway/LimitUpdates.h
+++ b/Libraries/LibGateway/LimitUpdates.h
@@ -2,7 +2,7 @@
 
 /// Updates the rate limits of endpoints on the gateway's board.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 #include "LibGateway/PeerMessage.h"
 
 namespace primrose {
--- a/Libraries/LibGateway/MemoryHold.cpp
+++ b/Libraries/LibGateway/MemoryReservation.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/MemoryHold.h"
+#include "LibGateway/MemoryReservation.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/MemoryHold.h
+++ b/Libraries/LibGateway/MemoryReservation.h
@@ -4,7 +4,7 @@
 /// alone: all of it or nothing, under leases that are renewed while the request
 /// lasts. An entry that dies leaves nothing set aside for longer than a lease.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/PeerSnapshot.h
+++ b/Libraries/LibGateway/PeerSnapshot.h
@@ -4,7 +4,7 @@
 /// that they have read there. The revisions go with them, so that nothing that
 /// comes this way replaces anything newer.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -7,7 +7,7 @@
 /// more. Rows are only ever added, or all of a request's removed together, so
 /// that nothing depends on the order of writes whose answers were lost.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/ReachabilityCheck.h
+++ b/Libraries/LibGateway/ReachabilityCheck.h
@@ -3,7 +3,7 @@
 /// Finds out whether an endpoint still takes connections, without asking it
 /// for anything.
 
-#include "LibGateway/EndpointConnections.h"
+#include "LibGateway/EndpointConnectionPool.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/StalenessDetector.h
+++ b/Libraries/LibGateway/StalenessDetector.h
@@ -4,7 +4,7 @@
 /// whose path to the store went silent gets no error; what its peers tell is
 /// what shows that it is behind.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -3,7 +3,7 @@
 /// Keeps a copy of one table of the platform: a whole reading, then a long poll
 /// for changes, again and again, through whatever the platform does.
 
-#include "LibGateway/GatewayBoard.h"
+#include "LibGateway/GatewayState.h"
 
 namespace primrose {
 
