--- a/Libraries/LibFleet/Endpoints.h
+++ b/Libraries/LibFleet/Endpoints.h
@@ -67,8 +67,8 @@
   std::uint64_t mRevision = 0;
   endpoint_health mHealth;
   endpoint_limit mLimit;
-  unsigned mOutstanding = 0; ///< This process's own attempts.
-  time_point mHeard{};       ///< When one of them last brought anything.
+  unsigned mOutstanding = 0;    ///< This process's own attempts.
+  time_point mLastReceivedAt{}; ///< When one of them last brought anything.
   /// Where this is false, other entries place; this one does only while none
   /// where it is true can be used.
   bool mPreferred = true;
--- a/Libraries/LibGateway/Attempt.cpp
+++ b/Libraries/LibGateway/Attempt.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 attempt::attempt(event_loop& aLoop,
-                 endpoint_connections& aConnections,
+                 endpoint_connection_pool& aConnections,
                  const gateway_adapter& aAdapter,
                  attempt_owner& aOwner,
                  endpoint aEndpoint,
@@ -40,15 +40,15 @@
   mSentAt = mLoop.Now();
   mBodyBytes = aBody.size();
   mChannel = aFresh ? nullptr : mConnections.TakeIdle(mEndpoint.mId);
-  mKept = mChannel != nullptr;
-  if (!mKept) {
+  mReusedConnection = mChannel != nullptr;
+  if (!mReusedConnection) {
     mChannel = mConnections.Connect(mEndpoint.mAddress);
     mTimer = mLoop.After(kConnectTimeout, [this]() {
       mTimer = 0;
-      End(attempt_end::Unreached, "no_connection_in_time");
+      End(attempt_end::NotConnected, "no_connection_in_time");
     });
   }
-  mSent = mKept;
+  mSent = mReusedConnection;
   mChannel->SetOwner(this);
   aHead.append(aBody);
   mChannel->Write(aHead);
@@ -98,21 +98,21 @@
 }
 
 bool
-attempt::TakeHead()
+attempt::AcceptHead()
 {
-  mHeadTaken = true;
+  mHeadAccepted = true;
   mFacts = mAdapter.mReadAnswer(mReader.Head());
-  if (mFacts.mRequestId != mRequestId && !mFacts.mElsewhere) {
+  if (mFacts.mRequestId != mRequestId && !mFacts.mWrongEndpoint) {
     // The answer to somebody else's request, which came late.
     End(attempt_end::Broken, "foreign_answer");
     return false;
   }
-  if (mFacts.mElsewhere || mFacts.mNotRun) {
-    End(attempt_end::NotRun, mFacts.mElsewhere ? "elsewhere" : "refused");
+  if (mFacts.mWrongEndpoint || mFacts.mNotRun) {
+    End(attempt_end::NotRun, mFacts.mWrongEndpoint ? "elsewhere" : "refused");
     return false;
   }
-  if (!mFacts.mProven || mFacts.mEncoded) {
-    End(attempt_end::Broken, mFacts.mEncoded ? "encoded" : "unproven");
+  if (!mFacts.mProven || mFacts.mContentEncoded) {
+    End(attempt_end::Broken, mFacts.mContentEncoded ? "encoded" : "unproven");
     return false;
   }
   mOwner->OnAnswerHead(*this);
@@ -130,7 +130,7 @@
     End(attempt_end::Broken, "malformed_answer");
     return;
   }
-  if (!mHeadTaken && !TakeHead()) {
+  if (!mHeadAccepted && !AcceptHead()) {
     return;
   }
   if (state == read_state::Complete) {
@@ -177,17 +177,18 @@
 {
   if (!mSent) {
     mConnectionRefused = true;
-    End(attempt_end::Unreached, "connection_refused");
+    End(attempt_end::NotConnected, "connection_refused");
     return;
   }
-  if (aEnd == channel_end::Finished && mHeadTaken &&
+  if (aEnd == channel_end::Finished && mHeadAccepted &&
       mReader.EndsWithConnection() &&
       mReader.Finish() == read_state::Complete) {
     Complete();
     return;
   }
   const bool nothingCame = !mReader.Started();
-  End(mKept && nothingCame ? attempt_end::Stale : attempt_end::BrokeOff,
+  End(mReusedConnection && nothingCame ? attempt_end::Stale
+                                       : attempt_end::ConnectionLost,
       aEnd == channel_end::Reset ? "reset" : "closed");
 }
 
--- a/Libraries/LibGateway/Attempt.h
+++ b/Libraries/LibGateway/Attempt.h
@@ -9,11 +9,12 @@
 /// What an attempt tells the exchange that it belongs to.
 enum class attempt_end : std::uint8_t
 {
-  Unreached, ///< No connection: the endpoint saw nothing.
-  NotRun,    ///< The endpoint promises not to have run it.
-  Stale,     ///< A kept connection was closed before any byte came back.
-  BrokeOff,  ///< The connection ended before the answer did. It may have run.
-  Broken,    ///< What came was no answer to it. It may have run.
+  NotConnected,   ///< No connection: the endpoint saw nothing.
+  NotRun,         ///< The endpoint promises not to have run it.
+  Stale,          ///< A kept connection was closed before any byte came back.
+  ConnectionLost, ///< The connection ended before the answer did. It may have
+                  ///< run.
+  Broken,         ///< What came was no answer to it. It may have run.
 };
 
 class attempt;
@@ -37,7 +38,7 @@
 {
 public:
   attempt(event_loop& aLoop,
-          endpoint_connections& aConnections,
+          endpoint_connection_pool& aConnections,
           const gateway_adapter& aAdapter,
           attempt_owner& aOwner,
           endpoint aEndpoint,
@@ -55,13 +56,13 @@
 
   const endpoint& Endpoint() const { return mEndpoint; }
   const http_head& Head() const { return mReader.Head(); }
-  const answer_facts& Facts() const { return mFacts; }
+  const answer_info& Facts() const { return mFacts; }
   std::string& Body() { return mReader.Body(); }
   bool Sent() const { return mSent; }
   /// A process that is there would have taken the connection.
   bool ConnectionRefused() const { return mConnectionRefused; }
   /// The head of a proper answer has come.
-  bool AnswerBegun() const { return mHeadTaken; }
+  bool AnswerStarted() const { return mHeadAccepted; }
   time_point SentAt() const { return mSentAt; }
 
   void OnConnected(tcp_channel& aChannel) override;
@@ -70,23 +71,23 @@
 
 private:
   void End(attempt_end aEnd, const std::string& aWhy);
-  bool TakeHead();
+  bool AcceptHead();
   void Complete();
   bool AnsweredEarly() const;
   void DropChannel();
 
   event_loop& mLoop;
-  endpoint_connections& mConnections;
+  endpoint_connection_pool& mConnections;
   const gateway_adapter& mAdapter;
   attempt_owner* mOwner;
   endpoint mEndpoint;
   std::string mRequestId;
   std::shared_ptr<tcp_channel> mChannel;
   http_reader mReader;
-  answer_facts mFacts;
-  bool mKept = false; ///< The connection had served before.
+  answer_info mFacts;
+  bool mReusedConnection = false; ///< The connection had served before.
   bool mSent = false;
-  bool mHeadTaken = false;
+  bool mHeadAccepted = false;
   bool mConnectionRefused = false;
   time_point mSentAt{};
   std::size_t mBodyBytes = 0;
--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -37,7 +37,7 @@
   , mReader(http_role::Request, LimitsOf(aContext.mBoard.mManifest))
 {
   mChannel->SetOwner(this);
-  WaitForRequest();
+  StartIdleTimer();
 }
 
 caller_connection::~caller_connection()
@@ -46,7 +46,7 @@
 }
 
 void
-caller_connection::WaitForRequest()
+caller_connection::StartIdleTimer()
 {
   mContext.mLoop.Cancel(mTimer);
   const manifest_pointer& held = mContext.mBoard.mManifest;
@@ -155,14 +155,14 @@
   }
   mReader.Restart();
   mChannel->PauseReading(false);
-  WaitForRequest();
+  StartIdleTimer();
   if (!mChannel->Input().empty()) {
     // The next request came ahead; it begins in a turn of its own, so that
     // requests that come ahead do not nest.
     mContext.mLoop.Cancel(mTimer);
     mTimer = mContext.mLoop.After(duration::zero(), [this]() {
       mTimer = 0;
-      WaitForRequest();
+      StartIdleTimer();
       Read();
     });
   }
@@ -180,7 +180,7 @@
 caller_connection::OnDrained(tcp_channel&)
 {
   if (mExchange != nullptr) {
-    mExchange->PortDrained();
+    mExchange->OnResponseDrained();
   }
 }
 
@@ -190,7 +190,7 @@
   if (mExchange != nullptr) {
     const std::shared_ptr<exchange> left = std::move(mExchange);
     mExchange = nullptr;
-    left->CallerLeft();
+    left->OnCallerDisconnected();
     mContext.mLoop.DeleteLater(left);
   }
   Close(false);
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -9,7 +9,7 @@
 
 class caller_connection final
   : public channel_owner
-  , public caller_port
+  , public response_writer
 {
 public:
   using closed = std::function<void(caller_connection&)>;
@@ -38,7 +38,7 @@
   void Read();
   void Begin();
   void Reject(error_kind aKind, const std::string& aWhy);
-  void WaitForRequest();
+  void StartIdleTimer();
   void Close(bool aDrain);
 
   gateway_context mContext;
--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -47,7 +47,7 @@
 /// Whether this entry is the one, of those it knows, that does what is to be
 /// done once for a request.
 bool
-IsResponsibleGateway(const gateway_board& aBoard,
+IsResponsibleGateway(const gateway_state& aBoard,
                      const std::string& aOwnHost,
                      request_digest aRequest)
 {
@@ -104,14 +104,14 @@
 crash_detector::crash_detector(event_loop& aLoop,
                                const gateway_settings& aSettings,
                                const gateway_adapter& aAdapter,
-                               gateway_board& aBoard,
-                               endpoint_connections& aConnections,
+                               gateway_state& aBoard,
+                               endpoint_connection_pool& aConnections,
                                gossip_sender& aOutbox)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
   , mConnections(aConnections)
-  , mOutbox(aOutbox)
+  , mGossipSender(aOutbox)
   , mTable(aLoop, aSettings, aAdapter, aBoard)
 {
 }
@@ -274,7 +274,7 @@
     return;
   }
   mReported[aReport.mRequest] = now;
-  mOutbox.BroadcastCrash(aReport);
+  mGossipSender.BroadcastCrash(aReport);
   if (effect == crash_effect::Held) {
     OnQuarantined(aReport.mRequest, "");
   }
@@ -331,7 +331,7 @@
     return;
   }
   LogCleared(log_level::Warning, aRequest, "", held);
-  mOutbox.BroadcastCleared(aRequest);
+  mGossipSender.BroadcastCleared(aRequest);
   if (held) {
     mRows.erase(aRequest);
     mTable.Remove(aRequest);
@@ -381,8 +381,8 @@
   time_point& told = mTold[aHost];
   if (now - told >= kResyncInterval) {
     told = now;
-    mOutbox.SendQuarantined(QuarantinedRequests(mBoard.mQuarantine, now),
-                            aHost);
+    mGossipSender.SendQuarantined(QuarantinedRequests(mBoard.mQuarantine, now),
+                                  aHost);
   }
 }
 
@@ -447,7 +447,8 @@
       mBoard.mMetrics.Count(Labelled(
         "gateway_quarantine_trials_total", "granted", granted ? "1" : "0"));
       if (granted) {
-        mOutbox.BroadcastQuarantined({ { aRequest, trial, duration::zero() } });
+        mGossipSender.BroadcastQuarantined(
+          { { aRequest, trial, duration::zero() } });
       }
       then(granted);
     });
@@ -459,7 +460,7 @@
   const time_point now = mLoop.Now();
   for (const request_digest request : TakeDue(mClearedBroadcastsDue, now)) {
     if (AnsweredRecently(mBoard.mQuarantine, request, now)) {
-      mOutbox.BroadcastCleared(request);
+      mGossipSender.BroadcastCleared(request);
     }
   }
   for (const request_digest request : TakeDue(mTableWritesDue, now)) {
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -33,8 +33,8 @@
   crash_detector(event_loop& aLoop,
                  const gateway_settings& aSettings,
                  const gateway_adapter& aAdapter,
-                 gateway_board& aBoard,
-                 endpoint_connections& aConnections,
+                 gateway_state& aBoard,
+                 endpoint_connection_pool& aConnections,
                  gossip_sender& aOutbox);
   ~crash_detector();
   crash_detector(const crash_detector&) = delete;
@@ -98,9 +98,9 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
-  endpoint_connections& mConnections;
-  gossip_sender& mOutbox;
+  gateway_state& mBoard;
+  endpoint_connection_pool& mConnections;
+  gossip_sender& mGossipSender;
   quarantine_table mTable;
   std::map<std::string, std::vector<unresolved_failure>>
     mUnresolvedFailures;                    ///< By endpoint.
--- a/Libraries/LibGateway/EndpointConnectionPool.cpp
+++ b/Libraries/LibGateway/EndpointConnectionPool.cpp
@@ -22,17 +22,17 @@
 
 } // namespace
 
-endpoint_connections::endpoint_connections(event_loop& aLoop,
-                                           const gateway_board& aBoard)
+endpoint_connection_pool::endpoint_connection_pool(event_loop& aLoop,
+                                                   const gateway_state& aBoard)
   : mLoop(aLoop)
   , mBoard(aBoard)
 {
 }
 
-endpoint_connections::~endpoint_connections() = default;
+endpoint_connection_pool::~endpoint_connection_pool() = default;
 
 std::shared_ptr<tcp_channel>
-endpoint_connections::TakeIdle(const std::string& aId)
+endpoint_connection_pool::TakeIdle(const std::string& aId)
 {
   const auto found = mIdle.find(aId);
   if (found == mIdle.end()) {
@@ -54,13 +54,13 @@
 }
 
 std::shared_ptr<tcp_channel>
-endpoint_connections::Connect(const ip_address& aAddress)
+endpoint_connection_pool::Connect(const ip_address& aAddress)
 {
   return std::make_shared<tcp_channel>(mLoop, aAddress, kLimits);
 }
 
 std::size_t
-endpoint_connections::MostKept(const std::string& aId) const
+endpoint_connection_pool::MaxIdleConnections(const std::string& aId) const
 {
   constexpr std::size_t kAny = std::numeric_limits<std::size_t>::max();
   const auto known = mBoard.mEndpoints.mEndpoints.find(aId);
@@ -78,11 +78,11 @@
 }
 
 void
-endpoint_connections::Keep(const std::string& aId,
-                           std::shared_ptr<tcp_channel> aChannel,
-                           duration aIdleTimeout)
+endpoint_connection_pool::Keep(const std::string& aId,
+                               std::shared_ptr<tcp_channel> aChannel,
+                               duration aIdleTimeout)
 {
-  const std::size_t most = MostKept(aId);
+  const std::size_t most = MaxIdleConnections(aId);
   if (aIdleTimeout <= kSafetyBeforeTimeout || most == 0) {
     aChannel->Close();
     mLoop.DeleteLater(std::move(aChannel));
@@ -101,7 +101,7 @@
 }
 
 void
-endpoint_connections::CloseIdle(const std::string& aId)
+endpoint_connection_pool::CloseIdle(const std::string& aId)
 {
   const auto found = mIdle.find(aId);
   if (found == mIdle.end()) {
@@ -115,7 +115,7 @@
 }
 
 void
-endpoint_connections::CloseOverdue()
+endpoint_connection_pool::CloseExpired()
 {
   const time_point now = mLoop.Now();
   for (auto& [id, channels] : mIdle) {
@@ -130,7 +130,7 @@
 }
 
 void
-endpoint_connections::Drop(const tcp_channel& aChannel)
+endpoint_connection_pool::Drop(const tcp_channel& aChannel)
 {
   for (auto& [id, channels] : mIdle) {
     const auto found = std::find_if(
@@ -147,7 +147,7 @@
 }
 
 void
-endpoint_connections::OnInput(tcp_channel& aChannel)
+endpoint_connection_pool::OnInput(tcp_channel& aChannel)
 {
   // A second answer to a request that was answered already: it belongs to
   // nobody, and the next request on this connection must not be given it.
@@ -155,7 +155,7 @@
 }
 
 void
-endpoint_connections::OnEnd(tcp_channel& aChannel, channel_end)
+endpoint_connection_pool::OnEnd(tcp_channel& aChannel, channel_end)
 {
   Drop(aChannel);
 }
--- a/Libraries/LibGateway/EndpointConnectionPool.h
+++ b/Libraries/LibGateway/EndpointConnectionPool.h
@@ -13,13 +13,14 @@
 /// not answered by now is dark or its queue of connections is full.
 inline constexpr duration kConnectTimeout = std::chrono::milliseconds(250);
 
-class endpoint_connections final : public channel_owner
+class endpoint_connection_pool final : public channel_owner
 {
 public:
-  explicit endpoint_connections(event_loop& aLoop, const gateway_board& aBoard);
-  ~endpoint_connections() override;
-  endpoint_connections(const endpoint_connections&) = delete;
-  endpoint_connections& operator=(const endpoint_connections&) = delete;
+  explicit endpoint_connection_pool(event_loop& aLoop,
+                                    const gateway_state& aBoard);
+  ~endpoint_connection_pool() override;
+  endpoint_connection_pool(const endpoint_connection_pool&) = delete;
+  endpoint_connection_pool& operator=(const endpoint_connection_pool&) = delete;
 
   /// An idle connection to this start of the endpoint, or null.
   std::shared_ptr<tcp_channel> TakeIdle(const std::string& aId);
@@ -31,7 +32,7 @@
             duration aIdleTimeout);
   /// Closes the idle connections to an endpoint that is leaving or gone.
   void CloseIdle(const std::string& aId);
-  void CloseOverdue();
+  void CloseExpired();
 
   void OnInput(tcp_channel& aChannel) override;
   void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
@@ -45,10 +46,10 @@
   void Drop(const tcp_channel& aChannel);
   /// Idle connections that this entry may keep to one endpoint: an endpoint
   /// takes so many of all callers, and resets those beyond.
-  std::size_t MostKept(const std::string& aId) const;
+  std::size_t MaxIdleConnections(const std::string& aId) const;
 
   event_loop& mLoop;
-  const gateway_board& mBoard;
+  const gateway_state& mBoard;
   std::map<std::string, std::deque<kept>> mIdle;
 };
 
--- a/Libraries/LibGateway/Exchange.cpp
+++ b/Libraries/LibGateway/Exchange.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 exchange::exchange(const gateway_context& aContext,
-                   caller_port& aPort,
+                   response_writer& aPort,
                    http_head aHead,
                    std::string aBody)
   : mContext(aContext)
@@ -52,8 +52,8 @@
 exchange::~exchange()
 {
   mContext.mLoop.Cancel(mDeadlineTimer);
-  mContext.mLoop.Cancel(mSilenceTimer);
-  mContext.mLoop.Cancel(mReweighTimer);
+  mContext.mLoop.Cancel(mResponseTimer);
+  mContext.mLoop.Cancel(mPlacementTimer);
 }
 
 bool
@@ -86,20 +86,20 @@
   mContext.mCrashes.WhenQuarantineLoaded([weak = weak_from_this()]() {
     const std::shared_ptr<exchange> self = weak.lock();
     if (self != nullptr && self->mState != state::Ended) {
-      self->DispatchUnlessHeld();
+      self->DispatchUnlessQuarantined();
     }
   });
 }
 
 void
-exchange::DispatchUnlessHeld()
+exchange::DispatchUnlessQuarantined()
 {
   switch (mContext.mCrashes.Verdict(mDigest)) {
     case quarantine_verdict::Send:
       Dispatch();
       return;
     case quarantine_verdict::Refuse:
-      RefuseHeld();
+      RefuseQuarantined();
       return;
     case quarantine_verdict::Try:
       break;
@@ -110,16 +110,16 @@
       return;
     }
     if (!aMay) {
-      self->RefuseHeld();
+      self->RefuseQuarantined();
       return;
     }
-    self->mTrial = true;
+    self->mIsQuarantineTrial = true;
     self->Dispatch();
   });
 }
 
 void
-exchange::RefuseHeld()
+exchange::RefuseQuarantined()
 {
   mContext.mBoard.mMetrics.Count("gateway_quarantine_refusals_total");
   GiveUp(error_kind::Quarantined,
@@ -131,7 +131,7 @@
 bool
 exchange::Admit()
 {
-  const outcome<request_facts> read = Capture<request_facts>(
+  const outcome<request_info> read = Capture<request_info>(
     [this]() { return mContext.mAdapter.mReadRequest(mHead); });
   if (!read) {
     Answer(read.mFailure);
@@ -163,7 +163,7 @@
     limit = std::min(limit, *mFacts.mTimeLeft - kAnswerTime);
   }
   mDeadline = mBegan + limit;
-  if (WouldOutliveDrain(limit)) {
+  if (WouldExceedDrain(limit)) {
     Refuse(error_kind::ShuttingDown, "draining", kRetryElsewhere);
     return false;
   }
@@ -176,17 +176,17 @@
 }
 
 bool
-exchange::WouldOutliveDrain(duration aLimit) const
+exchange::WouldExceedDrain(duration aLimit) const
 {
   // What is cut at the end of the grace is lost to its caller; what is refused
   // now is served elsewhere. Callers still come when no other entry of their
   // data centre is in rotation, so short calls are taken to the end.
-  const gateway_board& board = mContext.mBoard;
-  if (!board.mDraining || mBegan - board.mDrainBegan < kBalancerNotices) {
+  const gateway_state& board = mContext.mBoard;
+  if (!board.mDraining || mBegan - board.mDrainStarted < kBalancerRemovalTime) {
     return false;
   }
   const time_point end =
-    board.mDrainBegan + mContext.mSettings.mGrace - kEndBeforeGrace;
+    board.mDrainStarted + mContext.mSettings.mGrace - kShutdownReserve;
   return mRoute->mKind == call_kind::Stream || mBegan + aLimit > end;
 }
 
@@ -213,7 +213,7 @@
 }
 
 bool
-exchange::Repeatable() const
+exchange::IsRetryable() const
 {
   return mRoute->mKind == call_kind::Idempotent ||
          (mRoute->mKind == call_kind::Stream && mRoute->mResumable);
@@ -225,14 +225,15 @@
   // It may have ended a third endpoint since it was sent last: here, or under
   // another caller's try at another entry. A trial is one send.
   const bool mayBeSent =
-    mTrial ? !mReachedEndpoint
-           : mContext.mCrashes.Verdict(mDigest) == quarantine_verdict::Send;
+    mIsQuarantineTrial
+      ? !mReachedEndpoint
+      : mContext.mCrashes.Verdict(mDigest) == quarantine_verdict::Send;
   if (!mayBeSent) {
-    RefuseHeld();
+    RefuseQuarantined();
     return;
   }
-  const bool chosen =
-    mService->mEngine.has_value() ? ChooseEngines() : ChoosePlain();
+  const bool chosen = mService->mEngine.has_value() ? TrySendToEngines()
+                                                    : TrySendToPlainEndpoint();
   if (!chosen) {
     RefuseUnplaced();
   }
@@ -244,9 +245,9 @@
   const std::shared_ptr<exchange> self = shared_from_this();
   mMayHaveRun = mMayHaveRun || (mAttempt != nullptr && mAttempt->Sent());
   if (mAttempt != nullptr) {
-    NoteBroken(*mAttempt, false);
+    ReportUnfinishedAttempt(*mAttempt, false);
   }
-  LeaveEndpoint();
+  ReleaseAttempt();
   GiveUp(mMayHaveRun ? error_kind::DeadlineExceeded
                      : error_kind::CannotMeetDeadline,
          "deadline");
@@ -302,14 +303,14 @@
 }
 
 void
-exchange::CallerLeft()
+exchange::OnCallerDisconnected()
 {
   const std::shared_ptr<exchange> self = shared_from_this();
   mPort = nullptr;
   if (mAttempt != nullptr) {
-    NoteBroken(*mAttempt, false);
+    ReportUnfinishedAttempt(*mAttempt, false);
   }
-  LeaveEndpoint();
+  ReleaseAttempt();
   End("caller_left", "");
 }
 
@@ -322,8 +323,8 @@
   mState = state::Ended;
   --mContext.mBoard.mOpenRequests;
   mContext.mLoop.Cancel(mDeadlineTimer);
-  mContext.mLoop.Cancel(mSilenceTimer);
-  mContext.mLoop.Cancel(mReweighTimer);
+  mContext.mLoop.Cancel(mResponseTimer);
+  mContext.mLoop.Cancel(mPlacementTimer);
   const time_point now = mContext.mLoop.Now();
   mContext.mBoard.mMetrics.Count(
     Labelled("gateway_requests_total", "outcome", aOutcome));
@@ -351,7 +352,7 @@
       { "sent_to", mTried.size() },
       { "helpers", mHelpers },
       { "prompt_tokens", mFacts.mPromptTokens },
-      { "expected_ms", mExpectedMs },
+      { "expected_ms", mExpectedFirstEventMs },
       { "first_ms", mHeadWritten ? Milliseconds(mFirstEventAt - mBegan) : -1 },
       { "longest_pause_ms", Milliseconds(mLongestPause) },
       { "events", mCursor.Count() },
@@ -360,8 +361,8 @@
       { "manifest_age_ms",
         mManifest == nullptr
           ? -1
-          : Milliseconds(now - mContext.mBoard.mManifestSince) } });
-  caller_port* const port = mPort;
+          : Milliseconds(now - mContext.mBoard.mManifestAppliedAt) } });
+  response_writer* const port = mPort;
   mPort = nullptr;
   if (port != nullptr) {
     port->Finish(KeepAlive());
--- a/Libraries/LibGateway/Exchange.h
+++ b/Libraries/LibGateway/Exchange.h
@@ -17,17 +17,17 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
-  endpoint_connections& mConnections;
-  gossip_sender& mOutbox;
+  gateway_state& mBoard;
+  endpoint_connection_pool& mConnections;
+  gossip_sender& mGossipSender;
   crash_detector& mCrashes;
 };
 
 /// The caller's connection, as an exchange sees it.
-class caller_port
+class response_writer
 {
 public:
-  virtual ~caller_port() = default;
+  virtual ~response_writer() = default;
   virtual void Write(std::string_view aBytes) = 0;
   virtual std::size_t Pending() const = 0;
   /// The answer is whole; the connection may take another request.
@@ -43,7 +43,7 @@
 {
 public:
   exchange(const gateway_context& aContext,
-           caller_port& aPort,
+           response_writer& aPort,
            http_head aHead,
            std::string aBody);
   ~exchange() override;
@@ -52,9 +52,9 @@
 
   void Start();
   /// The caller closed its connection: nothing more is done for it.
-  void CallerLeft();
+  void OnCallerDisconnected();
   /// The caller has taken what was written.
-  void PortDrained();
+  void OnResponseDrained();
 
   void OnAnswerHead(attempt& aAttempt) override;
   void OnAnswerBody(attempt& aAttempt) override;
@@ -71,81 +71,81 @@
   };
   bool Admit();
   bool Authenticate();
-  bool WouldOutliveDrain(duration aLimit) const;
+  bool WouldExceedDrain(duration aLimit) const;
   /// Refuses a request that ends endpoints, or finds out whether it may be
   /// tried once more; else dispatches it.
-  void DispatchUnlessHeld();
-  void RefuseHeld();
+  void DispatchUnlessQuarantined();
+  void RefuseQuarantined();
   void Dispatch();
-  bool ChooseEngines();
-  bool ChoosePlain();
-  placement_request WorkOf() const;
+  bool TrySendToEngines();
+  bool TrySendToPlainEndpoint();
+  placement_request DescribeEngineWork() const;
   /// Within which the answer is in time; all of its time where the route
   /// declares none, since 0 would make every answer late and every endpoint
   /// silent.
   duration Objective() const;
   /// Weighs the request again a moment later.
-  void WaitForPlace(const engine_choice& aChoice);
+  void PostponePlacement(const engine_choice& aChoice);
   void TurnAway(const engine_choice& aChoice);
-  void NotePlacement(const engine_choice& aChoice,
-                     const placement_request& aWork);
-  void SetMemoryAside(const engine_choice& aChoice);
+  void RecordPlacement(const engine_choice& aChoice,
+                       const placement_request& aWork);
+  void ReserveMemory(const engine_choice& aChoice);
   void SendToEngines(const endpoint& aWriter,
                      const std::vector<endpoint>& aReaders,
                      std::size_t aHolders);
-  void SendTo(const endpoint& aEndpoint,
-              const std::vector<reading_helper>& aHelpers);
-  void WatchSilence(duration aLimit);
-  void WatchStall(const attempt& aAttempt);
-  void OnSilence();
-  void LogSilence() const;
+  void StartAttempt(const endpoint& aEndpoint,
+                    const std::vector<prefill_helper>& aHelpers);
+  void StartResponseTimer(duration aLimit);
+  void StartStallTimer(const attempt& aAttempt);
+  void OnResponseTimeout();
+  void LogResponseTimeout() const;
   /// What is believed of the attempt's endpoint; null if it is off the list.
   known_endpoint* Known(const attempt& aAttempt) const;
   /// What the engine has been given; null if that is nothing.
-  const engine_load* LoadOf(const attempt& aAttempt) const;
+  const engine_load* FindEngineLoad(const attempt& aAttempt) const;
   /// All of the engine's slots are taken, as far as is known, and something
   /// came from it lately, for whichever of this entry's requests.
-  bool IsFullAndWorks(const attempt& aAttempt) const;
+  bool IsFullButResponsive(const attempt& aAttempt) const;
   /// What the endpoint is known to have to read before it writes again.
-  duration KnownReading(const attempt& aAttempt) const;
+  duration PrefillBacklog(const attempt& aAttempt) const;
   void OnDeadline();
-  bool MayRepeat();
+  bool ConsumeRetryBudget();
   /// True if the request may go to another endpoint and there is one.
-  bool HasAlternative() const;
-  bool Repeatable() const;
+  bool CanRetryElsewhere() const;
+  bool IsRetryable() const;
   void Retry(const std::string& aWhy);
   void GiveUp(error_kind aKind, const std::string& aWhy);
   void GiveUp(error_kind aKind, const std::string& aWhy, double aRetryAfter);
   void Refuse(error_kind aKind, const std::string& aWhy, double aRetryAfter);
   void Answer(const failure& aFailure);
-  void ForwardWhole(attempt& aAttempt);
+  void ForwardCompleteAnswer(attempt& aAttempt);
   void ForwardEvents(attempt& aAttempt);
   void WriteHead(const http_head& aHead, std::optional<std::size_t> aLength);
-  void LeaveEndpoint();
+  void ReleaseAttempt();
   /// Tells the crash watch of an attempt that ends without a whole answer.
-  void NoteBroken(const attempt& aAttempt, bool aBrokeOff);
-  void NoteLoad(const attempt& aAttempt);
+  void ReportUnfinishedAttempt(const attempt& aAttempt, bool aBrokeOff);
+  void RecordReportedLoad(const attempt& aAttempt);
   /// Applies the endpoint's limit from an answer and tells it to other entries.
-  void NoteLimit(const attempt& aAttempt);
+  void ApplyReportedLimit(const attempt& aAttempt);
   /// Refuses a request for which no endpoint can be chosen.
   void RefuseUnplaced();
   /// The endpoint works: something came from it.
-  void NoteHeard(const attempt& aAttempt);
+  void RecordEndpointActivity(const attempt& aAttempt);
   void Sign(const attempt& aAttempt, endpoint_health_event aSign);
   void Sign(known_endpoint& aEndpoint, endpoint_health_event aSign);
   /// The engine that a refusal names, if it is another than the one that sent
   /// it: one that was to read a part of the prompt and would not.
-  known_endpoint* RefusingHelper(const attempt& aAttempt);
-  void LeaveOutHelper(known_endpoint& aHelper, const std::string& aWhy);
+  known_endpoint* FindRefusingHelper(const attempt& aAttempt);
+  void RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy);
   void End(std::string_view aOutcome, const std::string& aWhy);
   bool KeepAlive() const;
   duration Left() const;
 
   gateway_context mContext;
-  caller_port* mPort;
+  response_writer* mPort;
   http_head mHead;
   std::string mBody;
-  request_facts mFacts;
+  request_info mFacts;
   manifest_pointer mManifest; ///< As of admission; held for the route.
   const route* mRoute = nullptr;
   const service* mService = nullptr;
@@ -154,21 +154,22 @@
   time_point mBegan{};
   time_point mDeadline{};
   std::shared_ptr<attempt> mAttempt;
-  std::vector<std::string> mTried;      ///< Endpoints that it was sent to.
-  std::vector<std::string> mPassedOver; ///< Tried or unreachable.
+  std::vector<std::string> mTried; ///< Endpoints that it was sent to.
+  std::vector<std::string> mExcludedEndpoints; ///< Tried or unreachable.
   std::optional<placement_key> mPlacement;
-  std::shared_ptr<memory_hold> mMemory;
+  std::shared_ptr<memory_reservation> mMemory;
   std::size_t mMemoryRefusals = 0;
   std::size_t mHelperRefusals = 0;
-  double mExpectedMs = 0; ///< Until the first event, by this entry's sums.
+  double mExpectedFirstEventMs =
+    0; ///< Until the first event, by this entry's sums.
   std::size_t mHelpers = 0;
   bool mMayHaveRun = false; ///< An endpoint got it and promised nothing.
-  bool mFreshNext = false;
-  bool mWaited = false; ///< Not placed at once; see `WaitForPlace`.
-  bool mTrial = false;  ///< A held request that is tried once.
+  bool mNeedsNewConnection = false;
+  bool mWaited = false; ///< Not placed at once; see `PostponePlacement`.
+  bool mIsQuarantineTrial = false; ///< A held request that is tried once.
   bool mReachedEndpoint = false;
   bool mStreaming = false;
-  bool mEventsHere = false; ///< The current endpoint has sent an event.
+  bool mAttemptHasEvents = false; ///< The current endpoint has sent an event.
   bool mHeadWritten = false;
   bool mPaused = false;
   event_cursor mCursor;
@@ -178,8 +179,8 @@
   duration mLongestPause{};
   state mState = state::Open;
   timer_id mDeadlineTimer = 0;
-  timer_id mSilenceTimer = 0;
-  timer_id mReweighTimer = 0;
+  timer_id mResponseTimer = 0;
+  timer_id mPlacementTimer = 0;
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -46,7 +46,8 @@
   if (aSign == endpoint_health_event::ConnectionBroken ||
       aSign == endpoint_health_event::Silent ||
       aSign == endpoint_health_event::Unreachable) {
-    mContext.mOutbox.AnnounceEndpointFailure(EngineKey(aEndpoint.mListed.mId));
+    mContext.mGossipSender.AnnounceEndpointFailure(
+      EngineKey(aEndpoint.mListed.mId));
   }
   if (!was && IsAvoided(aEndpoint, now)) {
     Log(log_level::Warning,
@@ -60,9 +61,9 @@
 }
 
 known_endpoint*
-exchange::RefusingHelper(const attempt& aAttempt)
+exchange::FindRefusingHelper(const attempt& aAttempt)
 {
-  const std::string& address = aAttempt.Facts().mFaultyAddress;
+  const std::string& address = aAttempt.Facts().mFaultyHelperAddress;
   if (mHelpers == 0 || address.empty()) {
     return nullptr;
   }
@@ -76,17 +77,17 @@
 }
 
 void
-exchange::LeaveOutHelper(known_endpoint& aHelper, const std::string& aWhy)
+exchange::RetryWithoutHelper(known_endpoint& aHelper, const std::string& aWhy)
 {
   Sign(aHelper, endpoint_health_event::PrefillHelpRefused);
-  mContext.mOutbox.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
-  LeaveEndpoint();
+  mContext.mGossipSender.AnnounceHelpRefusal(EngineKey(aHelper.mListed.mId));
+  ReleaseAttempt();
   // The engine that was sent the prompt did nothing and may be sent it again:
   // this is none of the attempts that the route allows.
   mTried.pop_back();
-  mPassedOver.pop_back();
-  mPassedOver.push_back(aHelper.mListed.mId);
-  if (++mHelperRefusals <= kMostHelperRefusals && MayRepeat()) {
+  mExcludedEndpoints.pop_back();
+  mExcludedEndpoints.push_back(aHelper.mListed.mId);
+  if (++mHelperRefusals <= kMostHelperRefusals && ConsumeRetryBudget()) {
     Retry(aWhy);
   } else {
     GiveUp(error_kind::Overloaded, aWhy);
@@ -94,31 +95,32 @@
 }
 
 void
-exchange::NoteBroken(const attempt& aAttempt, bool aBrokeOff)
+exchange::ReportUnfinishedAttempt(const attempt& aAttempt, bool aBrokeOff)
 {
   if (aAttempt.Sent()) {
     mContext.mCrashes.OnAttemptFailed(
-      { mDigest, aAttempt.Endpoint().mId, mEventsHere, aBrokeOff });
+      { mDigest, aAttempt.Endpoint().mId, mAttemptHasEvents, aBrokeOff });
   }
 }
 
 void
-exchange::NoteLoad(const attempt& aAttempt)
+exchange::RecordReportedLoad(const attempt& aAttempt)
 {
-  if (mService->mEngine.has_value() && aAttempt.Facts().mBusyWith.has_value()) {
+  if (mService->mEngine.has_value() &&
+      aAttempt.Facts().mReportedRequests.has_value()) {
     SetReportedRequests(mContext.mBoard.mLedger,
                         EngineKey(aAttempt.Endpoint().mId),
-                        *aAttempt.Facts().mBusyWith,
+                        *aAttempt.Facts().mReportedRequests,
                         mContext.mLoop.Now());
   }
 }
 
 void
-exchange::NoteLimit(const attempt& aAttempt)
+exchange::ApplyReportedLimit(const attempt& aAttempt)
 {
-  const answer_facts& facts = aAttempt.Facts();
+  const answer_info& facts = aAttempt.Facts();
   known_endpoint* const known = Known(aAttempt);
-  if (known == nullptr || facts.mElsewhere) {
+  if (known == nullptr || facts.mWrongEndpoint) {
     return;
   }
   endpoint_limit& current = known->mLimit;
@@ -136,24 +138,24 @@
   const bool changed = ApplyLimit(
     mContext.mBoard, mContext.mSettings.mPeers.mHost, *known, limit, now, "");
   if (MarkLimitAnnouncedIfDue(current, changed, now)) {
-    mContext.mOutbox.AnnounceLimit(limit);
+    mContext.mGossipSender.AnnounceLimit(limit);
   }
 }
 
 void
-exchange::NoteHeard(const attempt& aAttempt)
+exchange::RecordEndpointActivity(const attempt& aAttempt)
 {
   if (known_endpoint* const known = Known(aAttempt); known != nullptr) {
-    known->mHeard = mContext.mLoop.Now();
+    known->mLastReceivedAt = mContext.mLoop.Now();
   }
 }
 
 void
 exchange::OnAnswerHead(attempt& aAttempt)
 {
-  NoteHeard(aAttempt);
-  NoteLoad(aAttempt);
-  NoteLimit(aAttempt);
+  RecordEndpointActivity(aAttempt);
+  RecordReportedLoad(aAttempt);
+  ApplyReportedLimit(aAttempt);
   mStreaming =
     mRoute->mKind == call_kind::Stream && IsGood(aAttempt.Head().mStatus);
   if (mStreaming && !mStreamHead.has_value()) {
@@ -177,8 +179,8 @@
     return;
   }
   const time_point now = mContext.mLoop.Now();
-  NoteHeard(aAttempt);
-  mEventsHere = true;
+  RecordEndpointActivity(aAttempt);
+  mAttemptHasEvents = true;
   if (!mHeadWritten) {
     mFirstEventAt = now;
     WriteHead(*mStreamHead, std::nullopt);
@@ -192,14 +194,14 @@
   if (mPort->Pending() > kMostPending) {
     mPaused = true;
     aAttempt.PauseReading(true);
-    mContext.mLoop.Cancel(mSilenceTimer);
+    mContext.mLoop.Cancel(mResponseTimer);
     return;
   }
-  WatchStall(aAttempt);
+  StartStallTimer(aAttempt);
 }
 
 void
-exchange::PortDrained()
+exchange::OnResponseDrained()
 {
   if (mPaused && mAttempt != nullptr) {
     mPaused = false;
@@ -215,9 +217,9 @@
   mContext.mCrashes.OnRequestAnswered(mDigest);
   if (status >= kFirstServerError) {
     Sign(aAttempt, endpoint_health_event::Failed);
-    if (HasAlternative() && MayRepeat()) {
+    if (CanRetryElsewhere() && ConsumeRetryBudget()) {
       mMayHaveRun = true;
-      LeaveEndpoint();
+      ReleaseAttempt();
       Retry("status_" + std::to_string(status));
       return;
     }
@@ -227,11 +229,11 @@
   if (!mStreaming) {
     if (mHeadWritten) {
       // A stream that was to go on elsewhere was refused there.
-      LeaveEndpoint();
+      ReleaseAttempt();
       GiveUp(error_kind::StreamBroken, "resume_failed");
       return;
     }
-    ForwardWhole(aAttempt);
+    ForwardCompleteAnswer(aAttempt);
     return;
   }
   ForwardEvents(aAttempt);
@@ -243,12 +245,12 @@
   AppendChunk(rest, aAttempt.Body());
   rest.append(kLastChunk);
   mPort->Write(rest);
-  LeaveEndpoint();
+  ReleaseAttempt();
   End("answered", "");
 }
 
 void
-exchange::ForwardWhole(attempt& aAttempt)
+exchange::ForwardCompleteAnswer(attempt& aAttempt)
 {
   std::string body = std::move(aAttempt.Body());
   mFirstEventAt = mContext.mLoop.Now();
@@ -257,7 +259,7 @@
   const bool good = aAttempt.Head().mStatus < kFirstError;
   const std::string why =
     good ? "" : "status_" + std::to_string(aAttempt.Head().mStatus);
-  LeaveEndpoint();
+  ReleaseAttempt();
   End(good ? "answered" : "endpoint_failed", why);
 }
 
@@ -297,20 +299,20 @@
         { "endpoint", id },
         { "digest", DigestText(mDigest) },
         { "why", aWhy },
-        { "answer_begun", static_cast<int>(aAttempt.AnswerBegun()) },
-        { "at_fault", aAttempt.Facts().mFaultyAddress },
+        { "answer_begun", static_cast<int>(aAttempt.AnswerStarted()) },
+        { "at_fault", aAttempt.Facts().mFaultyHelperAddress },
         { "after_ms", Milliseconds(mContext.mLoop.Now() - aAttempt.SentAt()) },
         { "last_event", mCursor.LastId().value_or(0) } });
-  const bool elsewhere = aAttempt.Facts().mElsewhere;
+  const bool elsewhere = aAttempt.Facts().mWrongEndpoint;
   switch (aEnd) {
-    case attempt_end::Unreached:
+    case attempt_end::NotConnected:
       Sign(aAttempt, endpoint_health_event::Unreachable);
       if (aAttempt.ConnectionRefused()) {
         mContext.mCrashes.OnEndpointCrashed(id, "refused");
       }
-      LeaveEndpoint();
+      ReleaseAttempt();
       mTried.pop_back();
-      if (mPassedOver.size() - mTried.size() >= kMostUnreached) {
+      if (mExcludedEndpoints.size() - mTried.size() >= kMostUnreached) {
         GiveUp(error_kind::NoEndpoint, "unreachable");
         return;
       }
@@ -318,45 +320,45 @@
       return;
     case attempt_end::Stale:
       // The same endpoint, on a new connection.
-      NoteBroken(aAttempt, true);
-      LeaveEndpoint();
+      ReportUnfinishedAttempt(aAttempt, true);
+      ReleaseAttempt();
       mTried.pop_back();
-      mPassedOver.pop_back();
-      mFreshNext = true;
+      mExcludedEndpoints.pop_back();
+      mNeedsNewConnection = true;
       mMayHaveRun = true;
-      if (MayRepeat()) {
+      if (ConsumeRetryBudget()) {
         Retry(aWhy);
       } else {
         GiveUp(error_kind::EndpointFailed, aWhy);
       }
       return;
     case attempt_end::NotRun:
-      NoteLoad(aAttempt);
-      NoteLimit(aAttempt);
+      RecordReportedLoad(aAttempt);
+      ApplyReportedLimit(aAttempt);
       if (elsewhere) {
         Sign(aAttempt, endpoint_health_event::AddressReassigned);
         mContext.mCrashes.OnEndpointCrashed(id, "address_of_another");
       }
-      if (known_endpoint* const helper = RefusingHelper(aAttempt);
+      if (known_endpoint* const helper = FindRefusingHelper(aAttempt);
           helper != nullptr) {
-        LeaveOutHelper(*helper, "helper_refused");
+        RetryWithoutHelper(*helper, "helper_refused");
         return;
       }
-      LeaveEndpoint();
-      if (mTried.size() < mRoute->mMaxAttempts && MayRepeat()) {
+      ReleaseAttempt();
+      if (mTried.size() < mRoute->mMaxAttempts && ConsumeRetryBudget()) {
         Retry(aWhy);
         return;
       }
       GiveUp(error_kind::Overloaded, aWhy);
       return;
-    case attempt_end::BrokeOff:
-      NoteBroken(aAttempt, true);
+    case attempt_end::ConnectionLost:
+      ReportUnfinishedAttempt(aAttempt, true);
       [[fallthrough]];
     case attempt_end::Broken:
       Sign(aAttempt, endpoint_health_event::ConnectionBroken);
       mMayHaveRun = true;
-      LeaveEndpoint();
-      if (HasAlternative() && MayRepeat()) {
+      ReleaseAttempt();
+      if (CanRetryElsewhere() && ConsumeRetryBudget()) {
         Retry(aWhy);
         return;
       }
--- a/Libraries/LibGateway/ExchangeSending.cpp
+++ b/Libraries/LibGateway/ExchangeSending.cpp
@@ -49,16 +49,16 @@
 } // namespace
 
 bool
-exchange::ChooseEngines()
+exchange::TrySendToEngines()
 {
-  gateway_board& board = mContext.mBoard;
-  const placement_request work = WorkOf();
+  gateway_state& board = mContext.mBoard;
+  const placement_request work = DescribeEngineWork();
   const std::optional<engine_choice> choice =
     PlaceOnEngines(board.mEndpoints,
                    board.mLedger,
                    *mService->mEngine,
                    work,
-                   mPassedOver,
+                   mExcludedEndpoints,
                    mContext.mSettings.mDataCentre,
                    mContext.mLoop.Now());
   if (!choice.has_value()) {
@@ -73,7 +73,7 @@
       if (takenOn || board.mDraining) {
         break;
       }
-      WaitForPlace(*choice);
+      PostponePlacement(*choice);
       return true;
     case placement_verdict::TurnAway:
       if (takenOn) {
@@ -85,9 +85,9 @@
       return true;
   }
   TakeToken(choice->mDecodeEngine->mLimit, mContext.mLoop.Now());
-  NotePlacement(*choice, work);
+  RecordPlacement(*choice, work);
   if (choice->mHolders > 0) {
-    SetMemoryAside(*choice);
+    ReserveMemory(*choice);
     return true;
   }
   SendToEngines(
@@ -103,25 +103,25 @@
 }
 
 placement_request
-exchange::WorkOf() const
+exchange::DescribeEngineWork() const
 {
   placement_request work;
   work.mService = mService->mName;
   work.mPromptTokens = mFacts.mPromptTokens;
   work.mAnswerTokens =
-    std::min(mFacts.mMostAnswerTokens, mService->mEngine->mMeanAnswerTokens);
+    std::min(mFacts.mMaxAnswerTokens, mService->mEngine->mMeanAnswerTokens);
   work.mObjective = Objective();
   work.mLongestPause = mRoute->mLongestPause > duration::zero()
                          ? mRoute->mLongestPause
                          : work.mObjective;
   work.mWorth = WorthOfPrompt(work.mPromptTokens);
   work.mElapsed = mContext.mLoop.Now() - mBegan;
-  work.mTieBreakSeed = mContext.mBoard.mBoot;
+  work.mTieBreakSeed = mContext.mBoard.mGatewayIncarnation;
   return work;
 }
 
 void
-exchange::WaitForPlace(const engine_choice& aChoice)
+exchange::PostponePlacement(const engine_choice& aChoice)
 {
   if (!mWaited) {
     mWaited = true;
@@ -134,9 +134,9 @@
           { "harm", TotalHarm(aChoice.mHarm) },
           { "price", aChoice.mPrice } });
   }
-  mReweighTimer = mContext.mLoop.After(kReevaluationInterval, [this]() {
+  mPlacementTimer = mContext.mLoop.After(kReevaluationInterval, [this]() {
     const std::shared_ptr<exchange> self = shared_from_this();
-    mReweighTimer = 0;
+    mPlacementTimer = 0;
     Dispatch();
   });
 }
@@ -148,7 +148,7 @@
   const duration after = TimeUntilAccepted(mContext.mBoard.mEndpoints,
                                            mContext.mBoard.mLedger,
                                            *mService->mEngine,
-                                           WorkOf(),
+                                           DescribeEngineWork(),
                                            mContext.mSettings.mDataCentre,
                                            mContext.mLoop.Now(),
                                            Left() / kCallersPatience);
@@ -176,19 +176,21 @@
 }
 
 void
-exchange::NotePlacement(const engine_choice& aChoice,
-                        const placement_request& aWork)
+exchange::RecordPlacement(const engine_choice& aChoice,
+                          const placement_request& aWork)
 {
-  gateway_board& board = mContext.mBoard;
+  gateway_state& board = mContext.mBoard;
   placement placed = MakePlacement(
-    aChoice, aWork, PlacementKey(board.mBoot, ++board.mLastPlacement));
-  placed.mOwner = board.mBoot;
+    aChoice,
+    aWork,
+    PlacementKey(board.mGatewayIncarnation, ++board.mLastPlacementNumber));
+  placed.mOwner = board.mGatewayIncarnation;
   placed.mBegan = mBegan;
   placed.mExpires = mDeadline;
   AddPlacement(board.mLedger, placed, mContext.mLoop.Now());
-  mContext.mOutbox.AnnouncePlacement(placed);
+  mContext.mGossipSender.AnnouncePlacement(placed);
   mPlacement = placed.mKey;
-  mExpectedMs = aChoice.mFirstEventMs;
+  mExpectedFirstEventMs = aChoice.mFirstEventMs;
   Log(log_level::Info,
       "placed",
       { { "request", mFacts.mId },
@@ -208,12 +210,12 @@
 }
 
 void
-exchange::SetMemoryAside(const engine_choice& aChoice)
+exchange::ReserveMemory(const engine_choice& aChoice)
 {
   const std::vector<endpoint> readers = Listed(aChoice.mPrefillHelpers);
   const endpoint writer = aChoice.mDecodeEngine->mListed;
   const std::size_t holders = aChoice.mHolders;
-  mMemory = std::make_shared<memory_hold>(
+  mMemory = std::make_shared<memory_reservation>(
     mContext.mLoop,
     mContext.mAdapter,
     mContext.mBoard,
@@ -234,7 +236,7 @@
       Log(log_level::Info,
           "memory_refused",
           { { "request", self->mFacts.mId }, { "holders", holders } });
-      self->LeaveEndpoint();
+      self->ReleaseAttempt();
       if (++self->mMemoryRefusals >= kMostMemoryRefusals) {
         self->GiveUp(error_kind::Overloaded, "no_memory");
         return;
@@ -248,24 +250,25 @@
                         const std::vector<endpoint>& aReaders,
                         std::size_t aHolders)
 {
-  std::vector<reading_helper> helpers;
+  std::vector<prefill_helper> helpers;
   for (std::size_t i = 0; i < aReaders.size(); ++i) {
     helpers.push_back(
       { aReaders[i].mAddress, i < aHolders ? mMemory->Reservation() : "" });
   }
-  SendTo(aWriter, helpers);
-  WatchSilence(FirstEventTimeout(WorkOf(), mExpectedMs, !aReaders.empty()));
+  StartAttempt(aWriter, helpers);
+  StartResponseTimer(FirstEventTimeout(
+    DescribeEngineWork(), mExpectedFirstEventMs, !aReaders.empty()));
 }
 
 bool
-exchange::ChoosePlain()
+exchange::TrySendToPlainEndpoint()
 {
-  gateway_board& board = mContext.mBoard;
+  gateway_state& board = mContext.mBoard;
   known_endpoint* const chosen =
     ChoosePlainEndpoint(board.mEndpoints,
                         mService->mName,
                         mContext.mSettings.mDataCentre,
-                        mPassedOver,
+                        mExcludedEndpoints,
                         mContext.mLoop.Now(),
                         Uniform(board.mRandom));
   if (chosen == nullptr) {
@@ -281,9 +284,9 @@
         { "outstanding", chosen->mOutstanding },
         { "attempt", mTried.size() + 1 },
         { "manifest", mManifest->Manifest().mVersion } });
-  SendTo(chosen->mListed, {});
+  StartAttempt(chosen->mListed, {});
   if (mRoute->mKind == call_kind::Idempotent) {
-    WatchSilence(FromSeconds(kSilenceOfObjective * Seconds(Objective())));
+    StartResponseTimer(FromSeconds(kSilenceOfObjective * Seconds(Objective())));
   }
   return true;
 }
@@ -294,7 +297,7 @@
   const std::optional<duration> wait =
     TimeUntilAdmissible(mContext.mBoard.mEndpoints,
                         mService->mName,
-                        mPassedOver,
+                        mExcludedEndpoints,
                         mContext.mLoop.Now());
   if (!wait.has_value()) {
     GiveUp(error_kind::NoEndpoint, "no_endpoint");
@@ -309,10 +312,10 @@
 }
 
 void
-exchange::SendTo(const endpoint& aEndpoint,
-                 const std::vector<reading_helper>& aHelpers)
+exchange::StartAttempt(const endpoint& aEndpoint,
+                       const std::vector<prefill_helper>& aHelpers)
 {
-  forwarding to;
+  forwarding_info to;
   to.mEndpointId = aEndpoint.mId;
   to.mAddress = aEndpoint.mAddress;
   to.mTimeLeft = Left();
@@ -321,9 +324,9 @@
   to.mLastEvent =
     mCursor.LastId().has_value() ? mCursor.LastId() : mFacts.mLastEvent;
   mHelpers = aHelpers.size();
-  mEventsHere = false;
+  mAttemptHasEvents = false;
   mTried.push_back(aEndpoint.mId);
-  mPassedOver.push_back(aEndpoint.mId);
+  mExcludedEndpoints.push_back(aEndpoint.mId);
   const auto known = mContext.mBoard.mEndpoints.mEndpoints.find(aEndpoint.mId);
   if (known != mContext.mBoard.mEndpoints.mEndpoints.end()) {
     ++known->second.mOutstanding;
@@ -338,55 +341,56 @@
   // A call that may not be repeated goes on a new connection: on a kept one
   // that the endpoint closes at the same moment nobody could say whether it
   // ran, and the caller would have to be told so.
-  const bool fresh = mFreshNext || !Repeatable();
-  mFreshNext = false;
+  const bool fresh = mNeedsNewConnection || !IsRetryable();
+  mNeedsNewConnection = false;
   mAttempt->Send(
     mContext.mAdapter.mWriteRequest(mHead, to, mBody.size()), mBody, fresh);
 }
 
 void
-exchange::WatchSilence(duration aLimit)
+exchange::StartResponseTimer(duration aLimit)
 {
-  mContext.mLoop.Cancel(mSilenceTimer);
-  mSilenceTimer = mContext.mLoop.After(aLimit, [this]() {
-    mSilenceTimer = 0;
-    OnSilence();
+  mContext.mLoop.Cancel(mResponseTimer);
+  mResponseTimer = mContext.mLoop.After(aLimit, [this]() {
+    mResponseTimer = 0;
+    OnResponseTimeout();
   });
 }
 
 void
-exchange::WatchStall(const attempt& aAttempt)
+exchange::StartStallTimer(const attempt& aAttempt)
 {
   if (mRoute->mLongestPause > duration::zero()) {
-    WatchSilence(StallTimeout(mRoute->mLongestPause) + KnownReading(aAttempt));
+    StartResponseTimer(StallTimeout(mRoute->mLongestPause) +
+                       PrefillBacklog(aAttempt));
   }
 }
 
 void
-exchange::OnSilence()
+exchange::OnResponseTimeout()
 {
   // An endpoint that is slow is still better than none at all.
-  if (mAttempt == nullptr || !HasAlternative() || !MayRepeat()) {
+  if (mAttempt == nullptr || !CanRetryElsewhere() || !ConsumeRetryBudget()) {
     return;
   }
-  const duration reading = KnownReading(*mAttempt);
+  const duration reading = PrefillBacklog(*mAttempt);
   if (reading > kWorthWaitingFor) {
     // Placed there since: the engine is busy, not dark.
-    WatchSilence(reading + kWorthWaitingFor);
+    StartResponseTimer(reading + kWorthWaitingFor);
     return;
   }
-  if (IsFullAndWorks(*mAttempt)) {
+  if (IsFullButResponsive(*mAttempt)) {
     // The request waits for a slot. To avoid the engine, or to ask for the
     // prompt again elsewhere, gives the others more to do, until they are
     // silent in their turn.
-    WatchSilence(kWorksIfHeardWithin);
+    StartResponseTimer(kWorksIfHeardWithin);
     return;
   }
-  LogSilence();
+  LogResponseTimeout();
   Sign(*mAttempt, endpoint_health_event::Silent);
-  NoteBroken(*mAttempt, true);
+  ReportUnfinishedAttempt(*mAttempt, true);
   mMayHaveRun = mMayHaveRun || mAttempt->Sent();
-  LeaveEndpoint();
+  ReleaseAttempt();
   Retry("silent");
 }
 
@@ -400,7 +404,7 @@
 }
 
 const engine_load*
-exchange::LoadOf(const attempt& aAttempt) const
+exchange::FindEngineLoad(const attempt& aAttempt) const
 {
   const engine_ledger& ledger = mContext.mBoard.mLedger;
   const auto load = ledger.mEngines.find(EngineKey(aAttempt.Endpoint().mId));
@@ -408,55 +412,56 @@
 }
 
 bool
-exchange::IsFullAndWorks(const attempt& aAttempt) const
+exchange::IsFullButResponsive(const attempt& aAttempt) const
 {
   const known_endpoint* const known = Known(aAttempt);
-  const engine_load* const load = LoadOf(aAttempt);
+  const engine_load* const load = FindEngineLoad(aAttempt);
   return mService->mEngine.has_value() && known != nullptr && load != nullptr &&
          load->mDecoding.size() >= mService->mEngine->mSlots &&
-         mContext.mLoop.Now() - known->mHeard < kWorksIfHeardWithin;
+         mContext.mLoop.Now() - known->mLastReceivedAt < kWorksIfHeardWithin;
 }
 
 void
-exchange::LogSilence() const
+exchange::LogResponseTimeout() const
 {
   const time_point now = mContext.mLoop.Now();
   const known_endpoint* const known = Known(*mAttempt);
-  const engine_load* const load = LoadOf(*mAttempt);
-  const bool heard = known != nullptr && known->mHeard != time_point{};
+  const engine_load* const load = FindEngineLoad(*mAttempt);
+  const bool heard = known != nullptr && known->mLastReceivedAt != time_point{};
   Log(log_level::Info,
       "endpoint_silent",
       { { "request", mFacts.mId },
         { "endpoint", mAttempt->Endpoint().mId },
-        { "expected_ms", mExpectedMs },
+        { "expected_ms", mExpectedFirstEventMs },
         { "waited_ms", Milliseconds(now - mAttempt->SentAt()) },
         { "events", mCursor.Count() },
         { "helpers", mHelpers },
         { "reading_left_ms", load == nullptr ? 0 : BacklogMs(*load, now) },
         { "writing", load == nullptr ? 0 : load->mDecoding.size() },
         { "own_attempts", known == nullptr ? 0 : known->mOutstanding },
-        { "heard_ms", heard ? Milliseconds(now - known->mHeard) : -1 } });
+        { "heard_ms",
+          heard ? Milliseconds(now - known->mLastReceivedAt) : -1 } });
 }
 
 duration
-exchange::KnownReading(const attempt& aAttempt) const
+exchange::PrefillBacklog(const attempt& aAttempt) const
 {
-  const engine_load* const load = LoadOf(aAttempt);
+  const engine_load* const load = FindEngineLoad(aAttempt);
   return load == nullptr
            ? duration::zero()
            : FromSeconds(BacklogMs(*load, mContext.mLoop.Now()) / kMsPerSecond);
 }
 
 bool
-exchange::HasAlternative() const
+exchange::CanRetryElsewhere() const
 {
-  if (!Repeatable() || mTried.size() >= mRoute->mMaxAttempts) {
+  if (!IsRetryable() || mTried.size() >= mRoute->mMaxAttempts) {
     return false;
   }
   for (const auto& [id, known] : mContext.mBoard.mEndpoints.mEndpoints) {
     if (IsAdmissible(known, mService->mName, mContext.mLoop.Now()) &&
-        std::find(mPassedOver.begin(), mPassedOver.end(), id) ==
-          mPassedOver.end()) {
+        std::find(mExcludedEndpoints.begin(), mExcludedEndpoints.end(), id) ==
+          mExcludedEndpoints.end()) {
       return true;
     }
   }
@@ -464,7 +469,7 @@
 }
 
 bool
-exchange::MayRepeat()
+exchange::ConsumeRetryBudget()
 {
   return TakeRetry(mContext.mBoard.mRepeats[mService->mName],
                    mContext.mSettings.mRepeats,
@@ -492,9 +497,9 @@
 }
 
 void
-exchange::LeaveEndpoint()
+exchange::ReleaseAttempt()
 {
-  mContext.mLoop.Cancel(mSilenceTimer);
+  mContext.mLoop.Cancel(mResponseTimer);
   if (mAttempt != nullptr) {
     known_endpoint* const known = Known(*mAttempt);
     if (known != nullptr && known->mOutstanding > 0) {
@@ -511,10 +516,10 @@
   }
   if (mPlacement.has_value()) {
     const placement_end end =
-      mEventsHere ? placement_end::Read : placement_end::Unread;
+      mAttemptHasEvents ? placement_end::Read : placement_end::Unread;
     const auto placed = mContext.mBoard.mLedger.mPlacements.find(*mPlacement);
     if (placed != mContext.mBoard.mLedger.mPlacements.end()) {
-      mContext.mOutbox.AnnouncePlacementEnd(
+      mContext.mGossipSender.AnnouncePlacementEnd(
         *mPlacement, end, placed->second.mEngines);
     }
     RemovePlacement(
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -25,7 +25,7 @@
   void Reload(const gateway_settings& aSettings);
   /// Says "not ready", lets what is in flight end, and then quits the loop.
   void Drain();
-  const gateway_board& Board() const { return mBoard; }
+  const gateway_state& Board() const { return mBoard; }
   /// Where callers connect, also where the system chose the port; 0 once a
   /// draining gateway has stopped listening.
   std::uint16_t CallersPort() const;
@@ -35,46 +35,46 @@
 private:
   bool Ready() const;
   /// Peers have known something newer for so long.
-  void OnBehind(belief aBelief, duration aPatience);
+  void OnPeerAhead(belief aBelief, duration aPatience);
   /// Rows of the manifest's table, the oldest first.
-  void OnManifests(const std::vector<row_change<std::string>>& aRows);
+  void OnManifestRows(const std::vector<row_change<std::string>>& aRows);
   /// Puts a manifest in force if it is newer; false if it cannot be read.
-  bool TakeManifest(const row_change<std::string>& aRow);
-  void OnEndpoints(const table_reading& aReading, bool aWhole);
-  void KeepRows(const std::vector<row_change<std::string>>& aRows);
-  void NoteListing(const std::string& aId, membership_change aListing);
+  bool ApplyManifestRow(const row_change<std::string>& aRow);
+  void OnEndpointRows(const table_read_result& aReading, bool aWhole);
+  void StoreEndpointRows(const std::vector<row_change<std::string>>& aRows);
+  void OnListingChange(const std::string& aId, membership_change aListing);
   /// Asks one of the peers that say they know more, and another if that one
   /// gives no answer.
-  void AskPeers();
-  void TakeBeliefs(const table_snapshot& aRows);
-  table_snapshot Beliefs() const;
+  void FetchRowsFromPeer();
+  void ApplyPeerRows(const table_snapshot& aRows);
+  table_snapshot CollectRowsForPeers() const;
   void Tick();
   void CheckDrained();
-  void AnswerProbe(int aSocket, bool aMetrics);
+  void ServeProbe(int aSocket, bool aMetrics);
 
   event_loop& mLoop;
   gateway_settings mSettings;
   gateway_adapter mAdapter;
-  gateway_board mBoard;
-  endpoint_connections mConnections;
-  gossip_sender mOutbox;
+  gateway_state mBoard;
+  endpoint_connection_pool mConnections;
+  gossip_sender mGossipSender;
   crash_detector mCrashes;
   peer_gossip mPeers;
-  snapshot_exchange mPeerBeliefs;
+  snapshot_exchange mSnapshotExchange;
   gateway_context mContext;
   /// The rows as the platform had them, for peers that cannot reach it.
   std::optional<row_change<std::string>> mManifestRow;
   std::map<std::string, row_change<std::string>> mEndpointRows;
-  unsigned mPeersLeftToAsk = 0;
-  time_point mKnowledgeLogged{};
+  unsigned mPeerFetchesLeft = 0;
+  time_point mStatusLoggedAt{};
   std::unique_ptr<table_follower> mManifestFollower;
   std::unique_ptr<table_follower> mEndpointFollower;
-  std::unique_ptr<gateway_registry> mEntryRoll;
+  std::unique_ptr<gateway_registry> mGatewayRegistry;
   std::unique_ptr<tcp_listener> mCallers;
   std::unique_ptr<tcp_listener> mReadiness;
   std::unique_ptr<tcp_listener> mMetrics;
   std::map<caller_connection*, std::shared_ptr<caller_connection>> mOpen;
-  bool mIdleClosed = false; ///< Once, while draining.
+  bool mIdleConnectionsClosed = false; ///< Once, while draining.
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -9,7 +9,7 @@
 constexpr double kMsPerSecond = 1e3;
 
 void
-SetEngineGauges(gateway_board& aBoard, time_point aNow)
+SetEngineGauges(gateway_state& aBoard, time_point aNow)
 {
   double reading = 0;
   double mostReading = 0;
@@ -33,16 +33,16 @@
 }
 
 std::string_view
-NameOf(table_reading::outcome aOutcome)
+NameOf(table_read_result::outcome aOutcome)
 {
   switch (aOutcome) {
-    case table_reading::outcome::Good:
+    case table_read_result::outcome::Good:
       return "good";
-    case table_reading::outcome::HistoryLost:
+    case table_read_result::outcome::HistoryLost:
       return "history_lost";
-    case table_reading::outcome::Refused:
+    case table_read_result::outcome::Refused:
       return "refused";
-    case table_reading::outcome::NoAnswer:
+    case table_read_result::outcome::NoAnswer:
       return "no_answer";
   }
   return "";
@@ -52,11 +52,11 @@
 NameOf(peer_traffic aTraffic)
 {
   switch (aTraffic) {
-    case peer_traffic::NewsSent:
+    case peer_traffic::UpdatesSent:
       return "news_sent";
-    case peer_traffic::BeatsSent:
+    case peer_traffic::HeartbeatsSent:
       return "beats_sent";
-    case peer_traffic::CrashesSent:
+    case peer_traffic::CrashReportsSent:
       return "crashes_sent";
     case peer_traffic::Received:
       return "received";
@@ -71,7 +71,7 @@
 }
 
 std::string
-StoreCallsSeries(table_reading::outcome aOutcome)
+StoreCallsSeries(table_read_result::outcome aOutcome)
 {
   return Labelled("gateway_store_calls_total", "outcome", NameOf(aOutcome));
 }
@@ -84,11 +84,11 @@
 
 /// How long ago the peer that has been silent longest was heard.
 duration
-LongestPeerSilence(const gateway_board& aBoard, time_point aNow)
+LongestPeerSilence(const gateway_state& aBoard, time_point aNow)
 {
   duration longest{};
   for (const auto& [host, peer] : aBoard.mPeers) {
-    longest = std::max(longest, aNow - peer.mHeard);
+    longest = std::max(longest, aNow - peer.mLastReceivedAt);
   }
   return longest;
 }
@@ -105,7 +105,7 @@
 } // namespace
 
 void
-SetGauges(gateway_board& aBoard, time_point aNow)
+SetGauges(gateway_state& aBoard, time_point aNow)
 {
   metrics& out = aBoard.mMetrics;
   out.Set("gateway_open_requests", static_cast<double>(aBoard.mOpenRequests));
@@ -129,13 +129,14 @@
   out.Set("gateway_log_lines_dropped_total",
           static_cast<double>(DroppedLogLines()));
   out.Set("gateway_manifest_age_seconds",
-          aBoard.mManifest == nullptr ? -1
-                                      : Seconds(aNow - aBoard.mManifestSince));
-  for (const auto& [table, reached] : aBoard.mStoreReached) {
+          aBoard.mManifest == nullptr
+            ? -1
+            : Seconds(aNow - aBoard.mManifestAppliedAt));
+  for (const auto& [table, reached] : aBoard.mStoreAnsweredAt) {
     out.Set(Labelled("gateway_store_answer_age_seconds", "table", table),
             Seconds(aNow - reached));
   }
-  for (const auto& [belief, since] : aBoard.mBehindSince) {
+  for (const auto& [belief, since] : aBoard.mPeersAheadSince) {
     out.Set(Labelled("gateway_behind_seconds", "belief", belief),
             since.has_value() ? Seconds(aNow - *since) : 0);
   }
@@ -164,41 +165,42 @@
 }
 
 void
-LogKnowledge(const gateway_board& aBoard, time_point aNow)
+LogFleetStatus(const gateway_state& aBoard, time_point aNow)
 {
   const metrics& counted = aBoard.mMetrics;
   std::int64_t failedCalls = 0;
-  for (const table_reading::outcome failed :
-       { table_reading::outcome::HistoryLost,
-         table_reading::outcome::Refused,
-         table_reading::outcome::NoAnswer }) {
+  for (const table_read_result::outcome failed :
+       { table_read_result::outcome::HistoryLost,
+         table_read_result::outcome::Refused,
+         table_read_result::outcome::NoAnswer }) {
     failedCalls += Counted(counted, StoreCallsSeries(failed));
   }
-  Log(log_level::Info,
-      "knowledge",
-      { { "peers", aBoard.mPeers.size() },
-        { "peer_silence_most_ms",
-          Milliseconds(LongestPeerSilence(aBoard, aNow)) },
-        { "endpoints", aBoard.mEndpoints.mEndpoints.size() },
-        { "endpoints_preferred", CountPreferred(aBoard.mEndpoints) },
-        { "placed", aBoard.mLastPlacement },
-        { "placed_heard", Counted(counted, "gateway_placements_heard_total") },
-        { "news_sent_bytes",
-          Counted(counted, PeerBytesSeries(peer_traffic::NewsSent)) },
-        { "beats_sent_bytes",
-          Counted(counted, PeerBytesSeries(peer_traffic::BeatsSent)) },
-        { "crashes_sent_bytes",
-          Counted(counted, PeerBytesSeries(peer_traffic::CrashesSent)) },
-        { "held", aBoard.mQuarantine.mHeld.size() },
-        { "received_bytes",
-          Counted(counted, PeerBytesSeries(peer_traffic::Received)) },
-        { "store_calls",
-          Counted(counted, StoreCallsSeries(table_reading::outcome::Good)) },
-        { "store_calls_failed", failedCalls } });
+  Log(
+    log_level::Info,
+    "knowledge",
+    { { "peers", aBoard.mPeers.size() },
+      { "peer_silence_most_ms",
+        Milliseconds(LongestPeerSilence(aBoard, aNow)) },
+      { "endpoints", aBoard.mEndpoints.mEndpoints.size() },
+      { "endpoints_preferred", CountPreferred(aBoard.mEndpoints) },
+      { "placed", aBoard.mLastPlacementNumber },
+      { "placed_heard", Counted(counted, "gateway_placements_heard_total") },
+      { "news_sent_bytes",
+        Counted(counted, PeerBytesSeries(peer_traffic::UpdatesSent)) },
+      { "beats_sent_bytes",
+        Counted(counted, PeerBytesSeries(peer_traffic::HeartbeatsSent)) },
+      { "crashes_sent_bytes",
+        Counted(counted, PeerBytesSeries(peer_traffic::CrashReportsSent)) },
+      { "held", aBoard.mQuarantine.mHeld.size() },
+      { "received_bytes",
+        Counted(counted, PeerBytesSeries(peer_traffic::Received)) },
+      { "store_calls",
+        Counted(counted, StoreCallsSeries(table_read_result::outcome::Good)) },
+      { "store_calls_failed", failedCalls } });
 }
 
 void
-CountStoreCall(metrics& aMetrics, table_reading::outcome aOutcome)
+CountStoreCall(metrics& aMetrics, table_read_result::outcome aOutcome)
 {
   aMetrics.Count(StoreCallsSeries(aOutcome));
 }
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -10,7 +10,7 @@
 
 /// Sets the gauges that change with time, just before they are read.
 void
-SetGauges(gateway_board& aBoard, time_point aNow);
+SetGauges(gateway_state& aBoard, time_point aNow);
 
 /// What came of a stream that was answered whole.
 struct stream_times
@@ -30,9 +30,9 @@
 /// What a datagram to or from another entry carries.
 enum class peer_traffic : std::uint8_t
 {
-  NewsSent,
-  BeatsSent,
-  CrashesSent,
+  UpdatesSent,
+  HeartbeatsSent,
+  CrashReportsSent,
   Received,
 };
 
@@ -43,10 +43,10 @@
 /// Logs what this entry knows of the others and of the engines, how old it is,
 /// and what that has cost since its start.
 void
-LogKnowledge(const gateway_board& aBoard, time_point aNow);
+LogFleetStatus(const gateway_state& aBoard, time_point aNow);
 
 /// Counts a call to the platform's store by its outcome.
 void
-CountStoreCall(metrics& aMetrics, table_reading::outcome aOutcome);
+CountStoreCall(metrics& aMetrics, table_read_result::outcome aOutcome);
 
 } // namespace primrose
--- a/Libraries/LibGateway/GatewayRegistry.cpp
+++ b/Libraries/LibGateway/GatewayRegistry.cpp
@@ -19,7 +19,7 @@
 gateway_registry::gateway_registry(event_loop& aLoop,
                                    const gateway_settings& aSettings,
                                    const gateway_adapter& aAdapter,
-                                   gateway_board& aBoard,
+                                   gateway_state& aBoard,
                                    learnt aLearnt)
   : mLoop(aLoop)
   , mSettings(aSettings)
@@ -33,8 +33,9 @@
 void
 gateway_registry::Register()
 {
-  mCaller.Call(mAdapter.mWriteRow(
-                 mAdapter.mEntryTable, mSettings.mPeers.mHost, mSettings.mName),
+  mCaller.Call(mAdapter.mWriteRow(mAdapter.mGatewayTable,
+                                  mSettings.mPeers.mHost,
+                                  mSettings.mName),
                kTimeout,
                [this](const http_answer& aAnswer) {
                  if (aAnswer.mStatus == kGood) {
@@ -48,27 +49,27 @@
 void
 gateway_registry::Learn(const std::string& aFromKey)
 {
-  mCaller.Call(mAdapter.mReadTable(mAdapter.mEntryTable, aFromKey),
-               kTimeout,
-               [this, aFromKey](const http_answer& aAnswer) {
-                 const table_reading reading = mAdapter.mDecodeTable(aAnswer);
-                 CountStoreCall(mBoard.mMetrics, reading.mOutcome);
-                 if (reading.mOutcome != table_reading::outcome::Good) {
-                   (void)mLoop.After(kPause,
-                                     [this, aFromKey]() { Learn(aFromKey); });
-                   return;
-                 }
-                 for (const row_change<std::string>& row : reading.mRows) {
-                   mHosts.push_back(row.mKey);
-                 }
-                 if (HasMoreRows(reading)) {
-                   Learn(NextPageKey(reading));
-                   return;
-                 }
-                 mBoard.mEntriesListed = mHosts.size();
-                 mBoard.mEntriesKnown = true;
-                 mOnLoaded(mHosts);
-               });
+  mCaller.Call(
+    mAdapter.mReadTable(mAdapter.mGatewayTable, aFromKey),
+    kTimeout,
+    [this, aFromKey](const http_answer& aAnswer) {
+      const table_read_result reading = mAdapter.mDecodeTable(aAnswer);
+      CountStoreCall(mBoard.mMetrics, reading.mOutcome);
+      if (reading.mOutcome != table_read_result::outcome::Good) {
+        (void)mLoop.After(kPause, [this, aFromKey]() { Learn(aFromKey); });
+        return;
+      }
+      for (const row_change<std::string>& row : reading.mRows) {
+        mHosts.push_back(row.mKey);
+      }
+      if (HasMoreRows(reading)) {
+        Learn(NextPageKey(reading));
+        return;
+      }
+      mBoard.mListedGatewayCount = mHosts.size();
+      mBoard.mGatewaysLoaded = true;
+      mOnLoaded(mHosts);
+    });
 }
 
 } // namespace primrose
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -16,7 +16,7 @@
   gateway_registry(event_loop& aLoop,
                    const gateway_settings& aSettings,
                    const gateway_adapter& aAdapter,
-                   gateway_board& aBoard,
+                   gateway_state& aBoard,
                    learnt aLearnt);
   gateway_registry(const gateway_registry&) = delete;
   gateway_registry& operator=(const gateway_registry&) = delete;
@@ -31,7 +31,7 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   learnt mOnLoaded;
   std::vector<std::string> mHosts;
   http_caller mCaller;
--- a/Libraries/LibGateway/GatewayState.h
+++ b/Libraries/LibGateway/GatewayState.h
@@ -28,77 +28,80 @@
 };
 
 /// Another entry, as heard from by datagram.
-struct peer_entry
+struct peer_state
 {
-  std::uint64_t mBoot = 0; ///< New at each of its starts.
-  time_point mHeard{};
+  std::uint64_t mGatewayIncarnation = 0; ///< New at each of its starts.
+  time_point mLastReceivedAt{};
   std::uint64_t mManifest = 0; ///< The version in force there, as it said last.
   std::uint64_t mList = 0;     ///< The newest revision of its list.
 
-  bool operator==(const peer_entry&) const = default;
+  bool operator==(const peer_state&) const = default;
 };
 
 /// The balancer takes an entry out after two probes a second apart; until then
 /// it sends new connections, which a draining entry serves like any other.
-inline constexpr duration kBalancerNotices = std::chrono::milliseconds(2600);
+inline constexpr duration kBalancerRemovalTime =
+  std::chrono::milliseconds(2600);
 /// Kept back from the grace for closing connections in order.
-inline constexpr duration kEndBeforeGrace = std::chrono::milliseconds(400);
+inline constexpr duration kShutdownReserve = std::chrono::milliseconds(400);
 
-struct gateway_board
+struct gateway_state
 {
   time_point mStarted{};
   manifest_pointer mManifest;
-  time_point mManifestSince{};
+  time_point mManifestAppliedAt{};
   bool mEndpointsKnown = false;
   endpoint_registry mEndpoints;
   /// The store showed the list as of this revision, whether or not a row has
   /// it.
-  std::uint64_t mListAsOf = 0;
-  std::map<std::string, time_point> mStoreReached; ///< By table, the last time.
+  std::uint64_t mEndpointListRevision = 0;
+  std::map<std::string, time_point>
+    mStoreAnsweredAt; ///< By table, the last time.
   /// By belief, since when a peer has known something newer.
-  std::map<std::string, std::optional<time_point>> mBehindSince;
+  std::map<std::string, std::optional<time_point>> mPeersAheadSince;
   engine_ledger mLedger;
   quarantine mQuarantine;
   bool mQuarantineKnown = false; ///< The platform's rows of it were read.
-  subset_ring mRing;             ///< Engines as listed, entries as heard from.
-  bool mRingStale = false;       ///< One of the two lists has changed since.
+  subset_ring mSubsetRing;       ///< Engines as listed, entries as heard from.
+  bool mSubsetRingStale = false; ///< One of the two lists has changed since.
   std::map<std::string, retry_history> mRepeats; ///< By service.
-  std::map<std::string, peer_entry> mPeers;      ///< By host.
-  bool mEntriesKnown = false;     ///< The platform's rows of them were read.
-  std::size_t mEntriesListed = 0; ///< Rows of entries, this one's included.
-  std::uint64_t mBoot = 0;
-  std::uint32_t mLastPlacement = 0;
+  std::map<std::string, peer_state> mPeers;      ///< By host.
+  bool mGatewaysLoaded = false; ///< The platform's rows of them were read.
+  std::size_t mListedGatewayCount =
+    0; ///< Rows of entries, this one's included.
+  std::uint64_t mGatewayIncarnation = 0;
+  std::uint32_t mLastPlacementNumber = 0;
   std::size_t mOpenRequests = 0;
   bool mDraining = false;
-  time_point mDrainBegan{};
+  time_point mDrainStarted{};
   random_engine mRandom;
   metrics mMetrics;
 };
 
 /// The version in force here; 0: none yet.
 std::uint64_t
-ManifestHeld(const gateway_board& aBoard);
+CurrentManifestVersion(const gateway_state& aBoard);
 
 /// Up to which revision this entry knows the list of endpoints.
 std::uint64_t
-ListHeld(const gateway_board& aBoard);
+CurrentListRevision(const gateway_state& aBoard);
 
 std::vector<std::string>
-PeerHosts(const gateway_board& aBoard);
+PeerHosts(const gateway_state& aBoard);
 
 /// Peers that say they have a newer manifest or a newer list than this entry.
 std::vector<std::string>
-PeersAhead(const gateway_board& aBoard);
+PeersAhead(const gateway_state& aBoard);
 
 /// Brings the ring, and what is preferred by the entry at this host, up to the
 /// lists of endpoints and of peers.
 void
-RankSubsets(gateway_board& aBoard, const std::string& aOwnHost);
+UpdateSubsetRing(gateway_state& aBoard, const std::string& aOwnHost);
 
 /// Entries that share the repeat budget: this one and the peers heard of, or
 /// those with a row in the platform where that is more. An entry that has just
 /// started and knows of nobody yet must not spend what belongs to all.
 std::size_t
-EntryCount(const gateway_board& aBoard);
+EntryCount(const gateway_state& aBoard);
 
 } // namespace primrose
--- a/Libraries/LibGateway/GossipSender.cpp
+++ b/Libraries/LibGateway/GossipSender.cpp
@@ -36,7 +36,7 @@
 
 gossip_sender::gossip_sender(event_loop& aLoop,
                              const gateway_settings& aSettings,
-                             gateway_board& aBoard)
+                             gateway_state& aBoard)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
@@ -142,7 +142,8 @@
     message.mUpdates.mHeld = { begin,
                                begin + static_cast<std::ptrdiff_t>(count) };
     const std::string bytes = EncodePeerMessage(message, mLoop.Now());
-    CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, bytes.size());
+    CountPeerBytes(
+      mBoard.mMetrics, peer_traffic::CrashReportsSent, bytes.size());
     Send(bytes, aHost);
   }
 }
@@ -181,7 +182,7 @@
   const std::size_t sent = bytes.size() * mBoard.mPeers.size();
   // Placements go to fewer peers for a while: their bytes are what can wait.
   ChargePeerBytes(mBudget, sent, mLoop.Now());
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashesSent, sent);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::CrashReportsSent, sent);
 }
 
 void
@@ -219,9 +220,9 @@
 gossip_sender::Message() const
 {
   peer_message message;
-  message.mBoot = mBoard.mBoot;
+  message.mGatewayIncarnation = mBoard.mGatewayIncarnation;
   message.mLeaving = mLeaving;
-  message.mManifest = ManifestHeld(mBoard);
+  message.mManifest = CurrentManifestVersion(mBoard);
   message.mList = mBoard.mEndpoints.mNewestRevision;
   return message;
 }
@@ -236,7 +237,7 @@
   }
   const std::size_t hosts =
     std::min(kMaxHostsPerDatagram, mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator peer =
+  std::map<std::string, peer_state>::const_iterator peer =
     mBoard.mPeers.begin();
   std::advance(peer,
                static_cast<std::ptrdiff_t>(
@@ -258,7 +259,7 @@
   peer_message message = Message();
   message.mUpdates = std::exchange(mGathered, {});
   const std::vector<std::string> concerned = HostsThatPrefer(
-    mBoard.mRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
+    mBoard.mSubsetRing, PeerHosts(mBoard), std::exchange(mBatchEngines, {}));
   const std::string bytes = EncodePeerMessage(message, mLoop.Now());
   for (const std::string& host : ChooseRecipients(concerned, bytes.size())) {
     Send(bytes, host);
@@ -279,7 +280,7 @@
     TakeRecipientCount(mBudget, aHosts.size(), aBytes, mLoop.Now());
   mBoard.mMetrics.Count(Labelled(
     "gateway_news_total", "told", told == aHosts.size() ? "all" : "some"));
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::NewsSent, told * aBytes);
+  CountPeerBytes(mBoard.mMetrics, peer_traffic::UpdatesSent, told * aBytes);
   if (told == aHosts.size()) {
     return aHosts;
   }
@@ -306,7 +307,7 @@
   const std::string bytes =
     EncodeHeartbeat(mHeartbeats++ % kHeartbeatsPerHostList == 0);
   const std::size_t told = PeersPerHeartbeat(mBoard.mPeers.size());
-  std::map<std::string, peer_entry>::const_iterator next =
+  std::map<std::string, peer_state>::const_iterator next =
     mBoard.mPeers.upper_bound(mLastHeartbeatHost);
   for (std::size_t i = 0; i < told; ++i, ++next) {
     if (next == mBoard.mPeers.end()) {
@@ -315,7 +316,8 @@
     mLastHeartbeatHost = next->first;
     Send(bytes, next->first);
   }
-  CountPeerBytes(mBoard.mMetrics, peer_traffic::BeatsSent, told * bytes.size());
+  CountPeerBytes(
+    mBoard.mMetrics, peer_traffic::HeartbeatsSent, told * bytes.size());
 }
 
 void
@@ -327,7 +329,7 @@
   message.mUpdates.mLimits = KnownLimits(mBoard);
   std::vector<placement>& own = message.mUpdates.mPlaced;
   for (const auto& [key, placed] : mBoard.mLedger.mPlacements) {
-    if (placed.mOwner != mBoard.mBoot) {
+    if (placed.mOwner != mBoard.mGatewayIncarnation) {
       continue;
     }
     own.push_back(placed);
--- a/Libraries/LibGateway/GossipSender.h
+++ b/Libraries/LibGateway/GossipSender.h
@@ -13,7 +13,7 @@
 public:
   gossip_sender(event_loop& aLoop,
                 const gateway_settings& aSettings,
-                gateway_board& aBoard);
+                gateway_state& aBoard);
   ~gossip_sender();
   gossip_sender(const gossip_sender&) = delete;
   gossip_sender& operator=(const gossip_sender&) = delete;
@@ -67,7 +67,7 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   datagram_socket* mSocket = nullptr;
   peer_updates mGathered;                ///< Not yet told.
   std::vector<engine_key> mBatchEngines; ///< Engines of what is gathered.
--- a/Libraries/LibGateway/LimitUpdates.cpp
+++ b/Libraries/LibGateway/LimitUpdates.cpp
@@ -8,26 +8,27 @@
 constexpr std::size_t kMaxLimitsPerDatagram = 64;
 
 void
-UpdateShare(const gateway_board& aBoard,
+UpdateShare(const gateway_state& aBoard,
             const std::string& aOwnHost,
             known_endpoint& aEndpoint,
             time_point aNow)
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  UpdateLimitShare(
-    aEndpoint.mLimit,
-    aEndpoint.mListed.mId,
-    HostsThatPrefer(aBoard.mRing, hosts, { EngineKey(aEndpoint.mListed.mId) }),
-    aOwnHost,
-    EntryCount(aBoard),
-    aNow);
+  UpdateLimitShare(aEndpoint.mLimit,
+                   aEndpoint.mListed.mId,
+                   HostsThatPrefer(aBoard.mSubsetRing,
+                                   hosts,
+                                   { EngineKey(aEndpoint.mListed.mId) }),
+                   aOwnHost,
+                   EntryCount(aBoard),
+                   aNow);
 }
 
 } // namespace
 
 bool
-ApplyLimit(gateway_board& aBoard,
+ApplyLimit(gateway_state& aBoard,
            const std::string& aOwnHost,
            known_endpoint& aEndpoint,
            const limit_report& aLimit,
@@ -52,7 +53,7 @@
 }
 
 void
-UpdateLimitShares(gateway_board& aBoard,
+UpdateLimitShares(gateway_state& aBoard,
                   const std::string& aOwnHost,
                   time_point aNow)
 {
@@ -64,7 +65,7 @@
 }
 
 std::vector<limit_report>
-KnownLimits(const gateway_board& aBoard)
+KnownLimits(const gateway_state& aBoard)
 {
   std::vector<limit_report> limits;
   for (const auto& [id, known] : aBoard.mEndpoints.mEndpoints) {
--- a/Libraries/LibGateway/LimitUpdates.h
+++ b/Libraries/LibGateway/LimitUpdates.h
@@ -11,7 +11,7 @@
 /// told by the entry at `aToldBy`. If the rate changed, recomputes the share of
 /// the entry at `aOwnHost`, logs the change and returns true.
 bool
-ApplyLimit(gateway_board& aBoard,
+ApplyLimit(gateway_state& aBoard,
            const std::string& aOwnHost,
            known_endpoint& aEndpoint,
            const limit_report& aLimit,
@@ -20,12 +20,12 @@
 
 /// Recomputes this entry's shares after entries or endpoints changed.
 void
-UpdateLimitShares(gateway_board& aBoard,
+UpdateLimitShares(gateway_state& aBoard,
                   const std::string& aOwnHost,
                   time_point aNow);
 
 /// Limits in force, capped to bound the size of the datagram.
 std::vector<limit_report>
-KnownLimits(const gateway_board& aBoard);
+KnownLimits(const gateway_state& aBoard);
 
 } // namespace primrose
--- a/Libraries/LibGateway/MemoryReservation.cpp
+++ b/Libraries/LibGateway/MemoryReservation.cpp
@@ -14,12 +14,12 @@
 
 } // namespace
 
-memory_hold::memory_hold(event_loop& aLoop,
-                         const gateway_adapter& aAdapter,
-                         gateway_board& aBoard,
-                         std::string aReservation,
-                         std::vector<endpoint> aHolders,
-                         double aTokensEach)
+memory_reservation::memory_reservation(event_loop& aLoop,
+                                       const gateway_adapter& aAdapter,
+                                       gateway_state& aBoard,
+                                       std::string aReservation,
+                                       std::vector<endpoint> aHolders,
+                                       double aTokensEach)
   : mLoop(aLoop)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
@@ -33,17 +33,17 @@
   }
 }
 
-memory_hold::~memory_hold()
+memory_reservation::~memory_reservation()
 {
   mLoop.Cancel(mTimer);
 }
 
 void
-memory_hold::Ask(holder& aHolder,
-                 bool aRelease,
-                 std::function<void(order_outcome)> aThen)
+memory_reservation::Ask(holder& aHolder,
+                        bool aRelease,
+                        std::function<void(reservation_outcome)> aThen)
 {
-  memory_order order;
+  reservation_command order;
   order.mEndpointId = aHolder.mEndpoint.mId;
   order.mReservation = mReservation;
   order.mRelease = aRelease;
@@ -51,31 +51,31 @@
   order.mLease = kLease;
   mBoard.mMetrics.Count("gateway_memory_orders_total");
   // The hold lives until its last order is answered.
-  const std::shared_ptr<memory_hold> self = shared_from_this();
+  const std::shared_ptr<memory_reservation> self = shared_from_this();
   aHolder.mCaller->Call(
-    mAdapter.mWriteOrder(order),
+    mAdapter.mWriteReservationCommand(order),
     kOrderTimeout,
     [self, then = std::move(aThen)](const http_answer& aAnswer) {
       self->mLoop.DeleteLater(self);
-      then(self->mAdapter.mReadOrder(aAnswer));
+      then(self->mAdapter.mReadReservationAnswer(aAnswer));
     });
 }
 
 void
-memory_hold::Acquire(settled aSettled)
+memory_reservation::Acquire(settled aSettled)
 {
   mSettled = std::move(aSettled);
   for (holder& one : mHolders) {
-    Ask(one, false, [this, &one](order_outcome aOutcome) {
+    Ask(one, false, [this, &one](reservation_outcome aOutcome) {
       OnGranted(one, aOutcome);
     });
   }
 }
 
 void
-memory_hold::OnGranted(holder& aHolder, order_outcome aOutcome)
+memory_reservation::OnGranted(holder& aHolder, reservation_outcome aOutcome)
 {
-  aHolder.mGranted = aOutcome == order_outcome::Done;
+  aHolder.mGranted = aOutcome == reservation_outcome::Done;
   ++mAnswers;
   if (mReleased || mAnswers < mHolders.size()) {
     return;
@@ -96,12 +96,12 @@
 }
 
 void
-memory_hold::Renew()
+memory_reservation::Renew()
 {
   mTimer = mLoop.After(kRenewEvery, [this]() { Renew(); });
   for (holder& one : mHolders) {
-    Ask(one, false, [this, &one](order_outcome aOutcome) {
-      if (aOutcome != order_outcome::Done && !mReleased) {
+    Ask(one, false, [this, &one](reservation_outcome aOutcome) {
+      if (aOutcome != reservation_outcome::Done && !mReleased) {
         Log(log_level::Warning,
             "memory_not_renewed",
             { { "reservation", mReservation },
@@ -112,7 +112,7 @@
 }
 
 void
-memory_hold::Release()
+memory_reservation::Release()
 {
   if (mReleased) {
     return;
@@ -120,8 +120,8 @@
   mReleased = true;
   mLoop.Cancel(mTimer);
   for (holder& one : mHolders) {
-    Ask(one, true, [this, &one](order_outcome aOutcome) {
-      if (aOutcome != order_outcome::Done) {
+    Ask(one, true, [this, &one](reservation_outcome aOutcome) {
+      if (aOutcome != reservation_outcome::Done) {
         Log(log_level::Info,
             "memory_left_to_its_lease",
             { { "reservation", mReservation },
--- a/Libraries/LibGateway/MemoryReservation.h
+++ b/Libraries/LibGateway/MemoryReservation.h
@@ -8,20 +8,21 @@
 
 namespace primrose {
 
-class memory_hold final : public std::enable_shared_from_this<memory_hold>
+class memory_reservation final
+  : public std::enable_shared_from_this<memory_reservation>
 {
 public:
   using settled = std::function<void(bool aGranted)>;
 
-  memory_hold(event_loop& aLoop,
-              const gateway_adapter& aAdapter,
-              gateway_board& aBoard,
-              std::string aReservation,
-              std::vector<endpoint> aHolders,
-              double aTokensEach);
-  ~memory_hold();
-  memory_hold(const memory_hold&) = delete;
-  memory_hold& operator=(const memory_hold&) = delete;
+  memory_reservation(event_loop& aLoop,
+                     const gateway_adapter& aAdapter,
+                     gateway_state& aBoard,
+                     std::string aReservation,
+                     std::vector<endpoint> aHolders,
+                     double aTokensEach);
+  ~memory_reservation();
+  memory_reservation(const memory_reservation&) = delete;
+  memory_reservation& operator=(const memory_reservation&) = delete;
 
   /// Asks all holders at once; `aSettled` is called once, unless `Release`
   /// comes first.
@@ -38,13 +39,15 @@
     std::unique_ptr<http_caller> mCaller;
     bool mGranted = false;
   };
-  void Ask(holder& aHolder, bool aRelease, std::function<void(order_outcome)>);
+  void Ask(holder& aHolder,
+           bool aRelease,
+           std::function<void(reservation_outcome)>);
   void Renew();
-  void OnGranted(holder& aHolder, order_outcome aOutcome);
+  void OnGranted(holder& aHolder, reservation_outcome aOutcome);
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   std::string mReservation;
   std::vector<holder> mHolders;
   double mTokens = 0;
--- a/Libraries/LibGateway/PeerGossip.cpp
+++ b/Libraries/LibGateway/PeerGossip.cpp
@@ -41,20 +41,21 @@
 } // namespace
 
 std::uint64_t
-ManifestHeld(const gateway_board& aBoard)
+CurrentManifestVersion(const gateway_state& aBoard)
 {
   return aBoard.mManifest == nullptr ? 0
                                      : aBoard.mManifest->Manifest().mVersion;
 }
 
 std::uint64_t
-ListHeld(const gateway_board& aBoard)
+CurrentListRevision(const gateway_state& aBoard)
 {
-  return std::max(aBoard.mEndpoints.mNewestRevision, aBoard.mListAsOf);
+  return std::max(aBoard.mEndpoints.mNewestRevision,
+                  aBoard.mEndpointListRevision);
 }
 
 std::vector<std::string>
-PeerHosts(const gateway_board& aBoard)
+PeerHosts(const gateway_state& aBoard)
 {
   std::vector<std::string> hosts;
   hosts.reserve(aBoard.mPeers.size());
@@ -65,10 +66,10 @@
 }
 
 std::vector<std::string>
-PeersAhead(const gateway_board& aBoard)
+PeersAhead(const gateway_state& aBoard)
 {
-  const std::uint64_t manifest = ManifestHeld(aBoard);
-  const std::uint64_t list = ListHeld(aBoard);
+  const std::uint64_t manifest = CurrentManifestVersion(aBoard);
+  const std::uint64_t list = CurrentListRevision(aBoard);
   std::vector<std::string> ahead;
   for (const auto& [host, peer] : aBoard.mPeers) {
     if (peer.mManifest > manifest || peer.mList > list) {
@@ -79,36 +80,36 @@
 }
 
 void
-RankSubsets(gateway_board& aBoard, const std::string& aOwnHost)
+UpdateSubsetRing(gateway_state& aBoard, const std::string& aOwnHost)
 {
   std::vector<std::string> hosts = PeerHosts(aBoard);
   hosts.push_back(aOwnHost);
-  AssignGatewayPositions(aBoard.mRing, hosts);
-  AssignEnginePositions(aBoard.mRing, aBoard.mEndpoints);
-  MarkPreferred(aBoard.mEndpoints, aBoard.mRing, aOwnHost);
-  aBoard.mRingStale = false;
+  AssignGatewayPositions(aBoard.mSubsetRing, hosts);
+  AssignEnginePositions(aBoard.mSubsetRing, aBoard.mEndpoints);
+  MarkPreferred(aBoard.mEndpoints, aBoard.mSubsetRing, aOwnHost);
+  aBoard.mSubsetRingStale = false;
 }
 
 std::size_t
-EntryCount(const gateway_board& aBoard)
+EntryCount(const gateway_state& aBoard)
 {
   constexpr std::size_t kBeforeAnyIsKnown = 64;
-  if (!aBoard.mEntriesKnown && aBoard.mPeers.empty()) {
+  if (!aBoard.mGatewaysLoaded && aBoard.mPeers.empty()) {
     return kBeforeAnyIsKnown;
   }
-  return std::max(aBoard.mPeers.size() + 1, aBoard.mEntriesListed);
+  return std::max(aBoard.mPeers.size() + 1, aBoard.mListedGatewayCount);
 }
 
 peer_gossip::peer_gossip(event_loop& aLoop,
                          const gateway_settings& aSettings,
-                         gateway_board& aBoard,
+                         gateway_state& aBoard,
                          gossip_sender& aOutbox,
                          crash_detector& aCrashes,
                          const behind& aBehind)
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mBoard(aBoard)
-  , mOutbox(aOutbox)
+  , mGossipSender(aOutbox)
   , mCrashes(aCrashes)
   , mManifestStaleness(
       aLoop,
@@ -118,14 +119,14 @@
         if (aBoard.mManifest == nullptr) {
           return std::nullopt;
         }
-        return ManifestHeld(aBoard);
+        return CurrentManifestVersion(aBoard);
       },
       [aBehind](duration aPatience) { aBehind(belief::Manifest, aPatience); })
   , mListStaleness(
       aLoop,
       aBoard,
       "endpoints",
-      [&aBoard]() { return std::optional(ListHeld(aBoard)); },
+      [&aBoard]() { return std::optional(CurrentListRevision(aBoard)); },
       [aBehind](duration aPatience) { aBehind(belief::Endpoints, aPatience); })
 {
 }
@@ -145,7 +146,7 @@
                       [this](std::string_view aBytes, const ip_address& aFrom) {
                         OnDatagram(aBytes, aFrom);
                       }));
-  mOutbox.Open(*mSocket);
+  mGossipSender.Open(*mSocket);
   AddHosts(mSettings.mSeeds);
   Beat();
   return {};
@@ -157,7 +158,7 @@
   for (const std::string& host : aHosts) {
     if (host != mSettings.mPeers.mHost && !mBoard.mPeers.contains(host) &&
         mCandidates.insert(host).second) {
-      mOutbox.Beat(host);
+      mGossipSender.Beat(host);
     }
   }
 }
@@ -191,10 +192,10 @@
 {
   RemoveSilentPeers();
   CompareWithLivePeers();
-  mOutbox.Beat();
+  mGossipSender.Beat();
   if (mHeartbeats % kCandidateHeartbeats == 0) {
     for (const std::string& host : mCandidates) {
-      mOutbox.Beat(host);
+      mGossipSender.Beat(host);
     }
   }
   ++mHeartbeats;
@@ -233,18 +234,19 @@
   const duration silence = static_cast<int>(kMissedHeartbeats) *
                            HeartbeatSpacing(mBoard.mPeers.size());
   for (auto peer = mBoard.mPeers.begin(); peer != mBoard.mPeers.end();) {
-    if (now - peer->second.mHeard < silence) {
+    if (now - peer->second.mLastReceivedAt < silence) {
       ++peer;
       continue;
     }
     Log(log_level::Warning,
         "peer_lost",
         { { "host", peer->first },
-          { "silent_ms", Milliseconds(now - peer->second.mHeard) } });
-    RemovePlacementsOfOwner(mBoard.mLedger, peer->second.mBoot, now);
+          { "silent_ms", Milliseconds(now - peer->second.mLastReceivedAt) } });
+    RemovePlacementsOfOwner(
+      mBoard.mLedger, peer->second.mGatewayIncarnation, now);
     mCandidates.insert(peer->first);
     peer = mBoard.mPeers.erase(peer);
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
   }
 }
 
@@ -262,13 +264,13 @@
     return;
   }
   const peer_message& message = *read.mValue;
-  if (message.mBoot == mBoard.mBoot) {
+  if (message.mGatewayIncarnation == mBoard.mGatewayIncarnation) {
     return;
   }
   mCandidates.erase(aFrom.mHost);
   if (message.mLeaving) {
     mBoard.mPeers.erase(aFrom.mHost);
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
     return;
   }
   RecordPeer(message, aFrom.mHost);
@@ -284,19 +286,21 @@
   const time_point now = mLoop.Now();
   const auto known = mBoard.mPeers.find(aHost);
   const bool isNew =
-    known == mBoard.mPeers.end() || known->second.mBoot != aMessage.mBoot;
+    known == mBoard.mPeers.end() ||
+    known->second.mGatewayIncarnation != aMessage.mGatewayIncarnation;
   if (known != mBoard.mPeers.end() && isNew) {
-    RemovePlacementsOfOwner(mBoard.mLedger, known->second.mBoot, now);
+    RemovePlacementsOfOwner(
+      mBoard.mLedger, known->second.mGatewayIncarnation, now);
   }
   mBoard.mPeers[aHost] = {
-    aMessage.mBoot, now, aMessage.mManifest, aMessage.mList
+    aMessage.mGatewayIncarnation, now, aMessage.mManifest, aMessage.mList
   };
   if (isNew) {
-    mBoard.mRingStale = true;
+    mBoard.mSubsetRingStale = true;
     Log(log_level::Info,
         "peer_found",
         { { "host", aHost }, { "peers", mBoard.mPeers.size() } });
-    mOutbox.SendInitialState(aHost);
+    mGossipSender.SendInitialState(aHost);
   }
 }
 
--- a/Libraries/LibGateway/PeerGossip.h
+++ b/Libraries/LibGateway/PeerGossip.h
@@ -23,7 +23,7 @@
 
   peer_gossip(event_loop& aLoop,
               const gateway_settings& aSettings,
-              gateway_board& aBoard,
+              gateway_state& aBoard,
               gossip_sender& aOutbox,
               crash_detector& aCrashes,
               const behind& aBehind);
@@ -57,8 +57,8 @@
 
   event_loop& mLoop;
   const gateway_settings& mSettings;
-  gateway_board& mBoard;
-  gossip_sender& mOutbox;
+  gateway_state& mBoard;
+  gossip_sender& mGossipSender;
   crash_detector& mCrashes;
   std::unique_ptr<datagram_socket> mSocket;
   std::set<std::string> mCandidates;     ///< Hosts not heard from yet.
--- a/Libraries/LibGateway/PeerMessage.cpp
+++ b/Libraries/LibGateway/PeerMessage.cpp
@@ -234,16 +234,18 @@
 ReadMessage(wire::PeerNews::Reader aNews, time_point aNow)
 {
   peer_message message;
-  message.mBoot = aNews.getBoot();
+  message.mGatewayIncarnation = aNews.getBoot();
   message.mLeaving = aNews.getLeaving();
   message.mManifest = aNews.getManifest();
   message.mList = aNews.getList();
   message.mQuarantineHash = aNews.getHeldState();
   for (const wire::PlacedWork::Reader work : aNews.getPlaced()) {
-    message.mUpdates.mPlaced.push_back(ReadWork(work, message.mBoot, aNow));
+    message.mUpdates.mPlaced.push_back(
+      ReadWork(work, message.mGatewayIncarnation, aNow));
   }
-  message.mUpdates.mEnded = Keys(message.mBoot, aNews.getEnded());
-  message.mUpdates.mUnread = Keys(message.mBoot, aNews.getUnread());
+  message.mUpdates.mEnded = Keys(message.mGatewayIncarnation, aNews.getEnded());
+  message.mUpdates.mUnread =
+    Keys(message.mGatewayIncarnation, aNews.getUnread());
   message.mUpdates.mHelpRefused = ReadNumbers(aNews.getUnwilling());
   message.mUpdates.mTroubled = ReadNumbers(aNews.getTroubled());
   ReadLimits(aNews, message.mUpdates, aNow);
@@ -261,7 +263,7 @@
 {
   capnp::MallocMessageBuilder builder;
   wire::PeerNews::Builder news = builder.initRoot<wire::PeerNews>();
-  news.setBoot(aMessage.mBoot);
+  news.setBoot(aMessage.mGatewayIncarnation);
   news.setLeaving(aMessage.mLeaving);
   news.setManifest(aMessage.mManifest);
   news.setList(aMessage.mList);
--- a/Libraries/LibGateway/PeerMessage.h
+++ b/Libraries/LibGateway/PeerMessage.h
@@ -38,7 +38,7 @@
 
 struct peer_message
 {
-  std::uint64_t mBoot = 0; ///< The start of the entry that tells.
+  std::uint64_t mGatewayIncarnation = 0; ///< The start of the entry that tells.
   bool mLeaving = false;
   std::uint64_t mManifest = 0; ///< The version in force there.
   std::uint64_t mList = 0;     ///< Newest revision of its list of endpoints.
--- a/Libraries/LibGateway/QuarantineTable.cpp
+++ b/Libraries/LibGateway/QuarantineTable.cpp
@@ -55,7 +55,7 @@
 quarantine_table::quarantine_table(event_loop& aLoop,
                                    const gateway_settings& aSettings,
                                    const gateway_adapter& aAdapter,
-                                   gateway_board& aBoard)
+                                   gateway_state& aBoard)
   : mLoop(aLoop)
   , mAdapter(aAdapter)
   , mBoard(aBoard)
@@ -76,9 +76,10 @@
   mCaller.Call(mAdapter.mReadTable(mAdapter.mQuarantineTable, aKey),
                kTimeout,
                [this, aKey](const http_answer& aAnswer) {
-                 const table_reading reading = mAdapter.mDecodeTable(aAnswer);
+                 const table_read_result reading =
+                   mAdapter.mDecodeTable(aAnswer);
                  CountStoreCall(mBoard.mMetrics, reading.mOutcome);
-                 if (reading.mOutcome != table_reading::outcome::Good) {
+                 if (reading.mOutcome != table_read_result::outcome::Good) {
                    mNextKeyToLoad = aKey;
                    RetryLater();
                    return;
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -21,7 +21,7 @@
   quarantine_table(event_loop& aLoop,
                    const gateway_settings& aSettings,
                    const gateway_adapter& aAdapter,
-                   gateway_board& aBoard);
+                   gateway_state& aBoard);
   quarantine_table(const quarantine_table&) = delete;
   quarantine_table& operator=(const quarantine_table&) = delete;
 
@@ -47,7 +47,7 @@
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   learnt mOnLoaded;
   std::map<request_digest, quarantined_request> mRead;
   std::optional<std::string>
--- a/Libraries/LibGateway/ReachabilityCheck.cpp
+++ b/Libraries/LibGateway/ReachabilityCheck.cpp
@@ -3,7 +3,7 @@
 namespace primrose {
 
 reachability_check::reachability_check(event_loop& aLoop,
-                                       endpoint_connections& aConnections,
+                                       endpoint_connection_pool& aConnections,
                                        const ip_address& aAddress,
                                        found aFound)
   : mLoop(aLoop)
--- a/Libraries/LibGateway/ReachabilityCheck.h
+++ b/Libraries/LibGateway/ReachabilityCheck.h
@@ -22,7 +22,7 @@
   /// Connects to the address and closes at once; `aFound` is called exactly
   /// once, unless the check is destroyed before, and may destroy it.
   reachability_check(event_loop& aLoop,
-                     endpoint_connections& aConnections,
+                     endpoint_connection_pool& aConnections,
                      const ip_address& aAddress,
                      found aFound);
   ~reachability_check() override;
--- a/Libraries/LibGateway/StalenessDetector.cpp
+++ b/Libraries/LibGateway/StalenessDetector.cpp
@@ -3,7 +3,7 @@
 namespace primrose {
 
 staleness_detector::staleness_detector(event_loop& aLoop,
-                                       gateway_board& aBoard,
+                                       gateway_state& aBoard,
                                        std::string aName,
                                        held aHeld,
                                        behind aBehind)
@@ -35,7 +35,7 @@
     RecordCaughtUp();
     return;
   }
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   since = since.value_or(mLoop.Now());
   if (mTimer == 0) {
     Wait();
@@ -67,7 +67,7 @@
 void
 staleness_detector::RecordCaughtUp()
 {
-  std::optional<time_point>& since = mBoard.mBehindSince[mName];
+  std::optional<time_point>& since = mBoard.mPeersAheadSince[mName];
   // What a peer was told a moment earlier is not worth a line.
   if (since.has_value() && mLoop.Now() - *since > CatchUpTimeout(0)) {
     Log(log_level::Warning,
--- a/Libraries/LibGateway/StalenessDetector.h
+++ b/Libraries/LibGateway/StalenessDetector.h
@@ -19,7 +19,7 @@
 
   /// `aName` stands in logs and metrics.
   staleness_detector(event_loop& aLoop,
-                     gateway_board& aBoard,
+                     gateway_state& aBoard,
                      std::string aName,
                      held aHeld,
                      behind aBehind);
@@ -36,7 +36,7 @@
   void RecordCaughtUp();
 
   event_loop& mLoop;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   std::string mName;
   held mHeld;
   behind mBehind;
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -23,7 +23,7 @@
 
 /// Bytes of rows of which the same answer has a later version.
 std::size_t
-SupersededBytes(const table_reading& aReading)
+SupersededBytes(const table_read_result& aReading)
 {
   std::set<std::string_view> later;
   std::size_t bytes = 0;
@@ -39,20 +39,20 @@
 } // namespace
 
 bool
-HasMoreRows(const table_reading& aReading)
+HasMoreRows(const table_read_result& aReading)
 {
   return aReading.mTruncated && !aReading.mRows.empty();
 }
 
 std::string
-NextPageKey(const table_reading& aReading)
+NextPageKey(const table_read_result& aReading)
 {
   return aReading.mRows.back().mKey + '\x01';
 }
 
 table_follower::table_follower(event_loop& aLoop,
                                const gateway_adapter& aAdapter,
-                               gateway_board& aBoard,
+                               gateway_state& aBoard,
                                const ip_address& aStore,
                                std::string aTable,
                                duration aGather,
@@ -107,7 +107,7 @@
       Labelled("gateway_store_given_up_total", "table", mTable));
     // A silent path gives no error: unless the question counts as unanswered,
     // the store never counts as lost here, and no peer is asked.
-    RecordFailure(table_reading{});
+    RecordFailure(table_read_result{});
   }
   mCaller.Abandon();
   mLoop.Cancel(mTimer);
@@ -128,7 +128,7 @@
 table_follower::ReadTableFrom(const std::string& aFromKey)
 {
   if (aFromKey.empty()) {
-    mGathered = table_reading{};
+    mGathered = table_read_result{};
   }
   mCaller.Call(
     mAdapter.mReadTable(mTable, aFromKey),
@@ -136,10 +136,10 @@
     [this](const http_answer& aAnswer) { OnTablePage(Decode(aAnswer)); });
 }
 
-table_reading
+table_read_result
 table_follower::Decode(const http_answer& aAnswer)
 {
-  table_reading reading = mAdapter.mDecodeTable(aAnswer);
+  table_read_result reading = mAdapter.mDecodeTable(aAnswer);
   mBoard.mMetrics.Count(
     Labelled("gateway_store_read_bytes_total", "table", mTable),
     static_cast<double>(aAnswer.mBody.size()));
@@ -157,9 +157,9 @@
 }
 
 void
-table_follower::OnTablePage(table_reading aReading)
+table_follower::OnTablePage(table_read_result aReading)
 {
-  if (aReading.mOutcome != table_reading::outcome::Good) {
+  if (aReading.mOutcome != table_read_result::outcome::Good) {
     RetryAfterFailure(aReading);
     return;
   }
@@ -178,7 +178,7 @@
   mMayHaveMissedChanges = false;
   mJitterNextPoll = true;
   mListener.mWhole(mGathered);
-  mGathered = table_reading{};
+  mGathered = table_read_result{};
   ReadChanges();
 }
 
@@ -196,9 +196,9 @@
 }
 
 void
-table_follower::OnChanges(const table_reading& aReading)
+table_follower::OnChanges(const table_read_result& aReading)
 {
-  if (aReading.mOutcome != table_reading::outcome::Good) {
+  if (aReading.mOutcome != table_read_result::outcome::Good) {
     RetryAfterFailure(aReading);
     return;
   }
@@ -235,16 +235,17 @@
             mTroubled ? Milliseconds(mLoop.Now() - mFailingSince) : 0 },
           { "failures", mFailures } });
   }
-  mBoard.mStoreReached[mTable] = mLoop.Now();
-  CountStoreCall(mBoard.mMetrics, table_reading::outcome::Good);
+  mBoard.mStoreAnsweredAt[mTable] = mLoop.Now();
+  CountStoreCall(mBoard.mMetrics, table_read_result::outcome::Good);
   mReached = true;
   mTroubled = false;
 }
 
 void
-table_follower::RecordFailure(const table_reading& aReading)
+table_follower::RecordFailure(const table_read_result& aReading)
 {
-  const bool lost = aReading.mOutcome == table_reading::outcome::HistoryLost;
+  const bool lost =
+    aReading.mOutcome == table_read_result::outcome::HistoryLost;
   if (lost) {
     Log(log_level::Warning,
         "store_history_lost",
@@ -252,14 +253,14 @@
   } else if (!mTroubled) {
     mTroubled = true;
     mFailingSince = mLoop.Now();
-    Log(
-      log_level::Warning,
-      "store_lost",
-      { { "table", mTable },
-        { "outcome",
-          aReading.mOutcome == table_reading::outcome::Refused ? "refused"
-                                                               : "no_answer" },
-        { "revision", mRevision.value_or(0) } });
+    Log(log_level::Warning,
+        "store_lost",
+        { { "table", mTable },
+          { "outcome",
+            aReading.mOutcome == table_read_result::outcome::Refused
+              ? "refused"
+              : "no_answer" },
+          { "revision", mRevision.value_or(0) } });
   }
   mReached = mReached && lost;
   mMayHaveMissedChanges = true;
@@ -268,7 +269,7 @@
 }
 
 void
-table_follower::RetryAfterFailure(const table_reading& aReading)
+table_follower::RetryAfterFailure(const table_read_result& aReading)
 {
   RecordFailure(aReading);
   const duration pause =
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -9,11 +9,11 @@
 
 /// True if the table has more rows than this answer.
 bool
-HasMoreRows(const table_reading& aReading);
+HasMoreRows(const table_read_result& aReading);
 
 /// Where the next answer begins: the first key that sorts behind the last one.
 std::string
-NextPageKey(const table_reading& aReading);
+NextPageKey(const table_read_result& aReading);
 
 class table_follower
 {
@@ -21,15 +21,15 @@
   struct listener
   {
     /// A whole reading as of a revision.
-    std::function<void(const table_reading&)> mWhole;
-    std::function<void(const table_reading&)> mChanges;
+    std::function<void(const table_read_result&)> mWhole;
+    std::function<void(const table_read_result&)> mChanges;
   };
 
   /// After changes the next question waits for `aGather`, so that a row of them
   /// comes in few answers; short against the bound on such changes.
   table_follower(event_loop& aLoop,
                  const gateway_adapter& aAdapter,
-                 gateway_board& aBoard,
+                 gateway_state& aBoard,
                  const ip_address& aStore,
                  std::string aTable,
                  duration aGather,
@@ -51,24 +51,24 @@
   void Ask();
   void ReadTableFrom(const std::string& aFromKey);
   /// Reads an answer; logs what took long, or carried much.
-  table_reading Decode(const http_answer& aAnswer);
-  void OnTablePage(table_reading aReading);
+  table_read_result Decode(const http_answer& aAnswer);
+  void OnTablePage(table_read_result aReading);
   void ReadChanges();
-  void OnChanges(const table_reading& aReading);
-  void RecordFailure(const table_reading& aReading);
-  void RetryAfterFailure(const table_reading& aReading);
+  void OnChanges(const table_read_result& aReading);
+  void RecordFailure(const table_read_result& aReading);
+  void RetryAfterFailure(const table_read_result& aReading);
   void RecordSuccess();
 
   event_loop& mLoop;
   const gateway_adapter& mAdapter;
-  gateway_board& mBoard;
+  gateway_state& mBoard;
   std::string mTable;
   duration mChangeBatchDelay;
   bool mChangeBatchPending =
     false; ///< The next question waits for further changes.
   listener mListener;
   http_caller mCaller;
-  table_reading mGathered;
+  table_read_result mGathered;
   std::optional<std::uint64_t> mRevision;
   /// Changes may have been missed. They are not asked for one after the other,
   /// which brings each version of each row that there was: the whole table has
--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -70,7 +70,7 @@
     mWorld.mStore.Remove("servers", "i-desk");
     mWorld.mSettings.mPeers.mPort = mWorld.FreePort();
     mWorld.Start();
-    mSecond = SecondEntry(mWorld, mWorld.mSettings.mStore);
+    mSecond = StartSecondGateway(mWorld, mWorld.mSettings.mStore);
     mWorld.Until(
       [this]() {
         return mSecond->Board().mEndpointsKnown &&
@@ -194,10 +194,10 @@
     entries.EndThree();
     const std::size_t sends = entries.mPool.mSends;
     entries.mSecond = nullptr;
-    entries.mSecond = SecondEntry(entries.mWorld, kNoStore);
+    entries.mSecond = StartSecondGateway(entries.mWorld, kUnreachableStore);
     entries.mWorld.Until(
       [&entries]() {
-        const gateway_board& board = entries.mSecond->Board();
+        const gateway_state& board = entries.mSecond->Board();
         return board.mManifest != nullptr && board.mEndpointsKnown &&
                !board.mQuarantine.mHeld.empty();
       },
@@ -226,7 +226,7 @@
     entries.mWorld.mGateway = nullptr;
     entries.mWorld.Start();
     entries.mSecond =
-      SecondEntry(entries.mWorld, entries.mWorld.mStore.Address());
+      StartSecondGateway(entries.mWorld, entries.mWorld.mStore.Address());
     // The first request may come before the table has been read.
     for (int i = 0; i < 4; ++i) {
       (void)entries.Answered(kCrashing);
@@ -239,22 +239,22 @@
   {
     lone_watch(world& aWorld, request_digest aHeld)
       : mConnections(aWorld.mLoop, mBoard)
-      , mOutbox(aWorld.mLoop, aWorld.mSettings, mBoard)
+      , mGossipSender(aWorld.mLoop, aWorld.mSettings, mBoard)
       , mWatch(aWorld.mLoop,
                aWorld.mSettings,
                mAdapter,
                mBoard,
                mConnections,
-               mOutbox)
+               mGossipSender)
     {
       const time_point now = aWorld.mLoop.Now();
       mBoard.mQuarantine.mHeld[aHeld] = { 0, now, now };
     }
 
     gateway_adapter mAdapter = platform::Adapter();
-    gateway_board mBoard;
-    endpoint_connections mConnections;
-    gossip_sender mOutbox;
+    gateway_state mBoard;
+    endpoint_connection_pool mConnections;
+    gossip_sender mGossipSender;
     crash_detector mWatch;
   };
 
@@ -462,8 +462,8 @@
       },
       "the endpoint that has started");
     entries.mWorld.For(kTimeToHear);
-    const gateway_board& one = entries.mWorld.mGateway->Board();
-    const gateway_board& other = entries.mSecond->Board();
+    const gateway_state& one = entries.mWorld.mGateway->Board();
+    const gateway_state& other = entries.mSecond->Board();
     // Held by the entry that had not answered it, until the other said so.
     entries.mWorld.Until(
       [&one, &other]() {
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -70,14 +70,14 @@
 struct world : gateway_world
 {
   world()
-    : mDesk(mLoop)
+    : mDeskEndpoint(mLoop)
     , mSecond(mLoop)
     , mModel(mLoop)
   {
-    mDesk.mAnswer = &AnswerOk;
+    mDeskEndpoint.mAnswer = &AnswerOk;
     mSecond.mAnswer = &AnswerOk;
     PutManifest(3);
-    List("i-desk", "desk", mDesk.mServer.Address());
+    List("i-desk", "desk", mDeskEndpoint.mServer.Address());
   }
 
   standin_caller& Ask(const std::string& aBytes)
@@ -106,19 +106,19 @@
     return reader.Body();
   }
 
-  endpoint_fixture mDesk;
+  endpoint_fixture mDeskEndpoint;
   endpoint_fixture mSecond;
   endpoint_fixture mModel;
   std::vector<std::unique_ptr<standin_caller>> mCallers;
 };
 
 /// Where nothing answers.
-inline const ip_address kNoStore{ "127.0.0.3", 9 };
+inline const ip_address kUnreachableStore{ "127.0.0.3", 9 };
 
 /// A second entry, on another loopback address, that knows the first. Both need
 /// the same port for peers, which the first one's settings name.
 inline std::unique_ptr<gateway>
-SecondEntry(world& aWorld, const ip_address& aStore)
+StartSecondGateway(world& aWorld, const ip_address& aStore)
 {
   gateway_settings settings = aWorld.mSettings;
   settings.mName = "entry-2";
--- a/Tests/Gateway/StoreOutageTest.cpp
+++ b/Tests/Gateway/StoreOutageTest.cpp
@@ -53,9 +53,12 @@
       mWorld.mSettings.mPeers.mPort = mWorld.FreePort();
       mWorld.Start();
       WriteManifest(mStore, 3, "");
-      ListEndpoint(
-        mStore, "i-desk", "desk", mWorld.mDesk.mServer.Address(), "ready");
-      mEntry = SecondEntry(mWorld, mStore.Address());
+      ListEndpoint(mStore,
+                   "i-desk",
+                   "desk",
+                   mWorld.mDeskEndpoint.mServer.Address(),
+                   "ready");
+      mEntry = StartSecondGateway(mWorld, mStore.Address());
       mWorld.Until([this]() { return Version(*mEntry) == 3; }, "the manifest");
     }
 
--- a/Tests/Gateway/StreamTest.cpp
+++ b/Tests/Gateway/StreamTest.cpp
@@ -34,9 +34,9 @@
 
   /// One engine that writes a stream, and a second request whose reading would
   /// interrupt it.
-  struct interrupting_world : world
+  struct postponed_prompt_world : world
   {
-    interrupting_world()
+    postponed_prompt_world()
     {
       // The time that the entry expects the first prompt's reading to take.
       constexpr milliseconds kReading(700);
@@ -72,7 +72,7 @@
   /// although that stream ends before the prompt would be late.
   void PromptWaitsUntilTheStreamItWouldInterruptEnds()
   {
-    interrupting_world w;
+    postponed_prompt_world w;
     w.EndStream();
     w.Until([&w]() { return w.mModel.mHeads.size() == 2; }, "the long prompt");
     w.Until(
@@ -83,7 +83,7 @@
   /// Guards against a prompt that is read for a caller that has left.
   void CallerThatLeavesWhileItsPromptWaitsIsSentNowhere()
   {
-    interrupting_world w;
+    postponed_prompt_world w;
     w.mWaiting->Leave();
     w.For(milliseconds(100));
     w.EndStream();
@@ -364,9 +364,9 @@
 
   /// Engines of which some refuse to read for others: whoever is sent a prompt
   /// with one of them among its helpers refuses it and names that one.
-  struct engines_with_refusers
+  struct engines_with_refusing_helpers
   {
-    engines_with_refusers(world& aWorld, std::size_t aCount)
+    engines_with_refusing_helpers(world& aWorld, std::size_t aCount)
     {
       for (std::size_t i = 0; i < aCount; ++i) {
         mEngines.push_back(std::make_unique<endpoint_fixture>(aWorld.mLoop));
@@ -423,7 +423,7 @@
   void RefusalForAHelpersSakeIsTriedWithoutIt()
   {
     world w;
-    engines_with_refusers engines(w, 8);
+    engines_with_refusing_helpers engines(w, 8);
     engines.mToRefuse = 2;
     w.Start();
     const standin_caller& caller =
@@ -439,7 +439,7 @@
   void HelperThatRefusedIsLeftOutNextTime()
   {
     world w;
-    engines_with_refusers engines(w, 8);
+    engines_with_refusing_helpers engines(w, 8);
     engines.mToRefuse = 1;
     w.Start();
     for (const char* const id : { "r1", "r2", "r3" }) {
--- a/Tests/Unit/LimitTest.cpp
+++ b/Tests/Unit/LimitTest.cpp
@@ -82,7 +82,7 @@
     std::optional<time_point> mAnswered; ///< First answer that named the limit.
     bool mCutOff = false;                ///< From the other entries.
     bool mDropped = false; ///< Peers have dropped it, and it them.
-    unsigned mBoot = 0;
+    unsigned mGatewayIncarnation = 0;
   };
 
   std::size_t RandomGateway()
@@ -141,14 +141,15 @@
         mNow - *asked.mAnswered >= milliseconds(500)) {
       mCounted.push_back(mNow);
     }
-    mEvents.emplace(mNow + milliseconds(150),
-                    [this, at, boot = asked.mBoot]() { Answer(at, boot); });
+    mEvents.emplace(
+      mNow + milliseconds(150),
+      [this, at, boot = asked.mGatewayIncarnation]() { Answer(at, boot); });
   }
 
   void Answer(std::size_t aEntry, unsigned aBoot)
   {
     entry& answered = mEntries[aEntry];
-    if (answered.mBoot != aBoot) {
+    if (answered.mGatewayIncarnation != aBoot) {
       return;
     }
     answered.mAnswered = answered.mAnswered.value_or(mNow);
@@ -169,9 +170,9 @@
 
   void Restart(std::size_t aEntry)
   {
-    const unsigned boot = mEntries[aEntry].mBoot + 1;
+    const unsigned boot = mEntries[aEntry].mGatewayIncarnation + 1;
     mEntries[aEntry] = {};
-    mEntries[aEntry].mBoot = boot;
+    mEntries[aEntry].mGatewayIncarnation = boot;
     // A peer sends its known limits to a new entry.
     const endpoint_limit known = mEntries[RandomGateway()].mLimit;
     if (known.mPerSecond.has_value()) {
--- a/Tests/Unit/PeerMessageTest.cpp
+++ b/Tests/Unit/PeerMessageTest.cpp
@@ -117,7 +117,7 @@
   /// The ring of a fleet, the peers of its first entry, and what that prefers.
   struct sized_fleet
   {
-    subset_ring mRing;
+    subset_ring mSubsetRing;
     std::vector<std::string> mPeers;
     std::vector<engine_key> mPreferred;
   };
@@ -127,9 +127,9 @@
     std::vector<std::string> hosts = test::Hosts(aEntries);
     const endpoint_registry board = test::Engines(aEngines);
     sized_fleet fleet;
-    fleet.mRing = test::Ring(hosts, board);
+    fleet.mSubsetRing = test::Ring(hosts, board);
     for (const std::string& id :
-         test::PreferredBy(fleet.mRing, hosts.front(), board)) {
+         test::PreferredBy(fleet.mSubsetRing, hosts.front(), board)) {
       fleet.mPreferred.push_back(EngineKey(id));
     }
     hosts.erase(hosts.begin());
@@ -141,7 +141,7 @@
   static peer_message EmptyMessage()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     return message;
@@ -166,7 +166,8 @@
     peer_message end = EmptyMessage();
     end.mUpdates.mEnded = { placed.mKey };
     const std::size_t concerned =
-      HostsThatPrefer(aFleet.mRing, aFleet.mPeers, placed.mEngines).size();
+      HostsThatPrefer(aFleet.mSubsetRing, aFleet.mPeers, placed.mEngines)
+        .size();
     std::size_t sent = 0;
     for (const peer_message& one : { news, end }) {
       const std::size_t bytes = EncodePeerMessage(one, aNow).size();
@@ -311,7 +312,7 @@
   void ShortPlacementIsShort()
   {
     peer_message message;
-    message.mBoot = kBoot;
+    message.mGatewayIncarnation = kBoot;
     message.mManifest = 17;
     message.mList = 4321;
     message.mUpdates.mPlaced = { ShortPlacement() };
@@ -325,7 +326,7 @@
   {
     rc::check("news", [](std::uint64_t aBoot, const std::string& aHost) {
       peer_message message;
-      message.mBoot = aBoot;
+      message.mGatewayIncarnation = aBoot;
       message.mLeaving = *rc::gen::arbitrary<bool>();
       message.mManifest = *rc::gen::arbitrary<std::uint64_t>();
       message.mList = *rc::gen::arbitrary<std::uint64_t>();
@@ -366,7 +367,7 @@
   {
     rc::check("mutated news", [](const std::string& aNoise) {
       peer_message message;
-      message.mBoot = kBoot;
+      message.mGatewayIncarnation = kBoot;
       message.mUpdates.mPlaced = { ShortPlacement() };
       std::string bytes = EncodePeerMessage(message, kStart);
       const std::size_t at = *rc::gen::inRange<std::size_t>(0, bytes.size());
--- a/Tests/Unit/SubsetTest.cpp
+++ b/Tests/Unit/SubsetTest.cpp
@@ -40,11 +40,11 @@
 public:
   burst(std::size_t aEntries, std::size_t aEngines)
     : mHosts(Hosts(aEntries))
-    , mRing(Ring(mHosts, Engines(aEngines)))
+    , mSubsetRing(Ring(mHosts, Engines(aEngines)))
   {
     for (const std::string& host : mHosts) {
       mEntries.push_back({ Engines(aEngines), {} });
-      MarkPreferred(mEntries.back().mBoard, mRing, host);
+      MarkPreferred(mEntries.back().mBoard, mSubsetRing, host);
     }
   }
 
@@ -88,7 +88,7 @@
       const news& one = mOnTheWay.front();
       for (std::size_t i = 0; i < mEntries.size(); ++i) {
         if (i != one.mFrom &&
-            Prefers(mRing, mHosts[i], one.mPlaced.mEngines.front())) {
+            Prefers(mSubsetRing, mHosts[i], one.mPlaced.mEngines.front())) {
           AddPlacement(mEntries[i].mLedger, one.mPlaced, one.mDue);
         }
       }
@@ -96,7 +96,7 @@
   }
 
   std::vector<std::string> mHosts;
-  subset_ring mRing;
+  subset_ring mSubsetRing;
   std::vector<entry> mEntries;
   std::deque<news> mOnTheWay;
   std::map<engine_key, std::size_t> mDecoding;
--- a/Utilities/Bench/GatewayCosts.cpp
+++ b/Utilities/Bench/GatewayCosts.cpp
@@ -129,7 +129,7 @@
     AppendField(text, fmt::format("Field-{}", i), "5c1e07a2:40,91bd3f06:4960");
   }
   text += "\r\n";
-  forwarding to;
+  forwarding_info to;
   to.mEndpointId = "i-7f3a91c2";
   to.mTimeLeft = std::chrono::seconds(9);
   to.mOrganisation = "hule930";
