--- a/Libraries/LibCore/Error.cpp
+++ b/Libraries/LibCore/Error.cpp
@@ -9,7 +9,7 @@
 
 using enum error_kind;
 
-constexpr std::array kAnswers = {
+constexpr std::array kErrorTable = {
   error_answer{ MalformedJson,
                 "malformed_json",
                 400,
@@ -157,9 +157,9 @@
   error_answer{ Internal, "internal", 500, true, "A defect of the system." },
 };
 
-constexpr std::array<std::string_view, 3> kRanNames = { "no",
-                                                        "yes",
-                                                        "unknown" };
+constexpr std::array<std::string_view, 3> kRanStateNames = { "no",
+                                                             "yes",
+                                                             "unknown" };
 
 } // namespace
 
@@ -168,36 +168,37 @@
 {
   // NOTE: The table stands in the order of the enumeration; a unit test
   // compares every row's kind with its place.
-  return kAnswers.at(static_cast<std::size_t>(aKind));
+  return kErrorTable.at(static_cast<std::size_t>(aKind));
 }
 
 std::optional<error_kind>
-KindNamed(std::string_view aName)
+ParseErrorKind(std::string_view aName)
 {
   const auto row =
-    std::find_if(kAnswers.begin(),
-                 kAnswers.end(),
+    std::find_if(kErrorTable.begin(),
+                 kErrorTable.end(),
                  [&](const error_answer& aRow) { return aRow.mName == aName; });
-  if (row == kAnswers.end()) {
+  if (row == kErrorTable.end()) {
     return std::nullopt;
   }
   return row->mKind;
 }
 
 std::string_view
-RanName(ran_state aRan)
+RanStateName(ran_state aRan)
 {
-  return kRanNames.at(static_cast<std::size_t>(aRan));
+  return kRanStateNames.at(static_cast<std::size_t>(aRan));
 }
 
 std::optional<ran_state>
-RanNamed(std::string_view aName)
+ParseRanState(std::string_view aName)
 {
-  const auto name = std::find(kRanNames.begin(), kRanNames.end(), aName);
-  if (name == kRanNames.end()) {
+  const auto name =
+    std::find(kRanStateNames.begin(), kRanStateNames.end(), aName);
+  if (name == kRanStateNames.end()) {
     return std::nullopt;
   }
-  return static_cast<ran_state>(name - kRanNames.begin());
+  return static_cast<ran_state>(name - kRanStateNames.begin());
 }
 
 leaf::error_id
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -75,12 +75,12 @@
 
 /// The kind with this name, if there is one.
 std::optional<error_kind>
-KindNamed(std::string_view aName);
+ParseErrorKind(std::string_view aName);
 
 std::string_view
-RanName(ran_state aRan);
+RanStateName(ran_state aRan);
 std::optional<ran_state>
-RanNamed(std::string_view aName);
+ParseRanState(std::string_view aName);
 
 /// A failure with what the person who meets it needs to know.
 struct failure
--- a/Libraries/LibDaemon/CommandLine.cpp
+++ b/Libraries/LibDaemon/CommandLine.cpp
@@ -46,7 +46,7 @@
   all.add_options()("log-level",
                     options::value<std::string>(&level),
                     "debug, info, warning or error");
-  all.add(aProgram.mExtra);
+  all.add(aProgram.mExtraOptions);
   try {
     options::store(options::parse_command_line(aCount, aArguments, all),
                    aOptions.mValues);
@@ -56,11 +56,11 @@
   }
   if (aOptions.mValues.count("help") != 0) {
     PrintHelp(aProgram, all);
-    return kExitGood;
+    return kExitSuccess;
   }
   if (aOptions.mValues.count("version") != 0) {
     std::cout << aProgram.mName << " " << aProgram.mVersion << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   if (!ParseLogLevel(level, aOptions.mLogLevel)) {
     return ReportUsage(
@@ -68,9 +68,11 @@
       "--log-level: expected debug, info, warning or error, found \"" + level +
         "\"");
   }
-  aOptions.mCheck = aOptions.mValues.count("check") != 0;
-  if (aOptions.mSettingsFile.empty() && !aProgram.mSettingsVariable.empty()) {
-    const char* const named = std::getenv(aProgram.mSettingsVariable.c_str());
+  aOptions.mCheckOnly = aOptions.mValues.count("check") != 0;
+  if (aOptions.mSettingsFile.empty() &&
+      !aProgram.mSettingsEnvironmentVariable.empty()) {
+    const char* const named =
+      std::getenv(aProgram.mSettingsEnvironmentVariable.c_str());
     aOptions.mSettingsFile = named == nullptr ? "" : named;
   }
   if (aOptions.mSettingsFile.empty()) {
@@ -84,7 +86,7 @@
 {
   std::cerr << aProgram << ": " << aFailure.mMessage << "\n";
   const bool isUsage = aFailure.mKind == error_kind::SettingsInvalid;
-  return isUsage ? kExitUsage : kExitFailed;
+  return isUsage ? kExitUsage : kExitFailure;
 }
 
 int
--- a/Libraries/LibDaemon/CommandLine.h
+++ b/Libraries/LibDaemon/CommandLine.h
@@ -14,8 +14,8 @@
 
 namespace primrose {
 
-inline constexpr int kExitGood = 0;
-inline constexpr int kExitFailed = 1;
+inline constexpr int kExitSuccess = 0;
+inline constexpr int kExitFailure = 1;
 inline constexpr int kExitUsage = 2;
 
 struct program_description
@@ -23,16 +23,16 @@
   std::string mName;
   std::string mVersion;
   std::string mPurpose;
-  boost::program_options::options_description mExtra{ "More options" };
+  boost::program_options::options_description mExtraOptions{ "More options" };
   /// An environment variable that names the settings file where --settings
   /// does not; empty if there is none.
-  std::string mSettingsVariable;
+  std::string mSettingsEnvironmentVariable;
 };
 
 struct common_options
 {
   std::string mSettingsFile;
-  bool mCheck = false;
+  bool mCheckOnly = false;
   log_level mLogLevel = log_level::Info;
   boost::program_options::variables_map mValues;
 };
--- a/Libraries/LibDaemon/MainLoop.cpp
+++ b/Libraries/LibDaemon/MainLoop.cpp
@@ -40,14 +40,14 @@
 }
 
 void
-main_loop::QuitSoon()
+main_loop::QuitAfterDelay()
 {
-  constexpr guint kLingerMs = 500;
-  g_timeout_add(kLingerMs, &LingerOver, this);
+  constexpr guint kQuitDelayMs = 500;
+  g_timeout_add(kQuitDelayMs, &OnQuitDelayElapsed, this);
 }
 
 int
-main_loop::LingerOver(void* aSelf)
+main_loop::OnQuitDelayElapsed(void* aSelf)
 {
   static_cast<main_loop*>(aSelf)->Quit(0);
   return G_SOURCE_REMOVE;
@@ -56,24 +56,24 @@
 void
 main_loop::OnTerminate(std::function<void()> aHandler)
 {
-  mTerminate = std::move(aHandler);
+  mTerminateHandler = std::move(aHandler);
 }
 
 int
 main_loop::Terminate(void* aSelf)
 {
   main_loop* const self = static_cast<main_loop*>(aSelf);
-  if (self->mTerminating || !self->mTerminate) {
+  if (self->mTerminating || !self->mTerminateHandler) {
     self->Quit(self->mTerminating ? 1 : 0);
     return G_SOURCE_CONTINUE;
   }
   self->mTerminating = true;
-  self->mTerminate();
+  self->mTerminateHandler();
   return G_SOURCE_CONTINUE;
 }
 
 void
-task_failures::taskFailed(kj::Exception&& aException)
+task_failure_logger::taskFailed(kj::Exception&& aException)
 {
   Log(log_level::Warning,
       "task_failed",
--- a/Libraries/LibDaemon/MainLoop.h
+++ b/Libraries/LibDaemon/MainLoop.h
@@ -20,25 +20,25 @@
   int Run();
   void Quit(int aExitCode);
   /// Ends well after a moment in which the last answers can leave.
-  void QuitSoon();
+  void QuitAfterDelay();
   /// Called at SIGTERM and SIGINT; the second signal quits at once.
   void OnTerminate(std::function<void()> aHandler);
   kj::WaitScope& Scope() { return mPort.Scope(); }
 
 private:
   static int Terminate(void* aSelf);
-  static int LingerOver(void* aSelf);
+  static int OnQuitDelayElapsed(void* aSelf);
 
   glib_event_port mPort;
   GMainLoop* mLoop;
-  std::function<void()> mTerminate;
+  std::function<void()> mTerminateHandler;
   unsigned mSignals[2] = {};
   int mExitCode = 0;
   bool mTerminating = false;
 };
 
 /// Logs the failures of tasks that nobody waits for.
-class task_failures final : public kj::TaskSet::ErrorHandler
+class task_failure_logger final : public kj::TaskSet::ErrorHandler
 {
 public:
   void taskFailed(kj::Exception&& aException) override;
--- a/Libraries/LibHttp/Json.cpp
+++ b/Libraries/LibHttp/Json.cpp
@@ -118,7 +118,7 @@
 {
   json error = { { "kind", AnswerFor(aFailure.mKind).mName },
                  { "message", aFailure.mMessage },
-                 { "ran", RanName(aFailure.mRan) } };
+                 { "ran", RanStateName(aFailure.mRan) } };
   if (aFailure.mRetryAfterSeconds) {
     error["retry_after_s"] = *aFailure.mRetryAfterSeconds;
   }
--- a/Libraries/LibObserve/BoundedOutput.cpp
+++ b/Libraries/LibObserve/BoundedOutput.cpp
@@ -6,9 +6,9 @@
 
 namespace primrose {
 
-bounded_output::bounded_output(int aDescriptor, std::size_t aMostBytes)
+bounded_output::bounded_output(int aDescriptor, std::size_t aMaxBufferedBytes)
   : mDescriptor(aDescriptor)
-  , mMostBytes(aMostBytes)
+  , mMaxBufferedBytes(aMaxBufferedBytes)
 {
   const int flags = fcntl(mDescriptor, F_GETFL);
   if (flags >= 0) {
@@ -19,7 +19,7 @@
 void
 bounded_output::Append(std::string_view aLine)
 {
-  if (Pending() + aLine.size() + 1 > mMostBytes) {
+  if (Pending() + aLine.size() + 1 > mMaxBufferedBytes) {
     ++mDropped;
     return;
   }
@@ -49,15 +49,16 @@
 }
 
 bool
-TakeLine(line_budget& aBudget, double aNow)
+TakeLine(line_rate_limiter& aBudget, double aNow)
 {
-  aBudget.mLeft = std::min(
-    aBudget.mMost, aBudget.mLeft + (aNow - aBudget.mAt) * aBudget.mPerSecond);
+  aBudget.mAvailableLines = std::min(
+    aBudget.mMost,
+    aBudget.mAvailableLines + (aNow - aBudget.mAt) * aBudget.mPerSecond);
   aBudget.mAt = aNow;
-  if (aBudget.mLeft < 1) {
+  if (aBudget.mAvailableLines < 1) {
     return false;
   }
-  aBudget.mLeft -= 1;
+  aBudget.mAvailableLines -= 1;
   return true;
 }
 
--- a/Libraries/LibObserve/BoundedOutput.h
+++ b/Libraries/LibObserve/BoundedOutput.h
@@ -16,7 +16,7 @@
 public:
   /// Writes to a descriptor, which is made non-blocking and stays the
   /// caller's own.
-  bounded_output(int aDescriptor, std::size_t aMostBytes);
+  bounded_output(int aDescriptor, std::size_t aMaxBufferedBytes);
 
   /// Takes a line without its end, or drops it if there is no room.
   void Append(std::string_view aLine);
@@ -28,7 +28,7 @@
 
 private:
   int mDescriptor;
-  std::size_t mMostBytes;
+  std::size_t mMaxBufferedBytes;
   std::string mBuffer;
   std::size_t mSent = 0;
   std::uint64_t mDropped = 0;
@@ -37,18 +37,18 @@
 
 /// How many lines of one kind may be written: so many a second, and so many at
 /// once after a quiet time.
-struct line_budget
+struct line_rate_limiter
 {
   double mPerSecond = 0;
   double mMost = 0;
-  double mLeft = 0;
+  double mAvailableLines = 0;
   double mAt = 0; ///< Seconds, of any steady clock.
 
-  bool operator==(const line_budget&) const = default;
+  bool operator==(const line_rate_limiter&) const = default;
 };
 
 /// Takes one line; false if the budget is used up.
 bool
-TakeLine(line_budget& aBudget, double aNow);
+TakeLine(line_rate_limiter& aBudget, double aNow);
 
 } // namespace primrose
--- a/Libraries/LibObserve/Log.cpp
+++ b/Libraries/LibObserve/Log.cpp
@@ -22,7 +22,7 @@
 };
 
 spdlog::level::level_enum
-LibraryLevel(log_level aLevel)
+SpdlogLevel(log_level aLevel)
 {
   switch (aLevel) {
     case log_level::Debug:
@@ -55,11 +55,11 @@
 /// Lines a second of each kind: a routine request takes two, and an entry that
 /// carries a third of a burst of 400 requests a second takes 270 of them.
 constexpr double kLinesPerSecond = 300;
-constexpr double kLinesAtOnce = 1500;
+constexpr double kMaxLineBurst = 1500;
 /// What a reader that stopped may hold back.
 constexpr std::size_t kMostBytes = std::size_t{ 256 } * 1024;
 /// Gathered routine lines go out at this size, or with the next `FlushLog`.
-constexpr std::size_t kFlushBytes = std::size_t{ 8 } * 1024;
+constexpr std::size_t kFlushThresholdBytes = std::size_t{ 8 } * 1024;
 
 class bounded_sink final
   : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
@@ -69,7 +69,10 @@
     : mOutput(STDOUT_FILENO, kMostBytes)
   {
   }
-  std::uint64_t Dropped() const { return mOutput.Dropped() + mOverBudget; }
+  std::uint64_t Dropped() const
+  {
+    return mOutput.Dropped() + mRateLimitedLines;
+  }
 
 protected:
   void sink_it_(const spdlog::details::log_msg& aMessage) override
@@ -78,15 +81,15 @@
     const double now = std::chrono::duration<double>(
                          std::chrono::steady_clock::now().time_since_epoch())
                          .count();
-    if (!TakeLine(failure ? mFailures : mRoutine, now)) {
-      ++mOverBudget;
+    if (!TakeLine(failure ? mFailures : mRoutineLimiter, now)) {
+      ++mRateLimitedLines;
       return;
     }
     spdlog::memory_buf_t text;
     formatter_->format(aMessage, text);
     const std::string_view line(text.data(), text.size());
     mOutput.Append(line.substr(0, line.size() - 1));
-    if (failure || mOutput.Pending() > kFlushBytes) {
+    if (failure || mOutput.Pending() > kFlushThresholdBytes) {
       mOutput.Flush();
     }
   }
@@ -94,9 +97,15 @@
 
 private:
   bounded_output mOutput;
-  line_budget mRoutine{ kLinesPerSecond, kLinesAtOnce, kLinesAtOnce, 0 };
-  line_budget mFailures{ kLinesPerSecond, kLinesAtOnce, kLinesAtOnce, 0 };
-  std::uint64_t mOverBudget = 0;
+  line_rate_limiter mRoutineLimiter{ kLinesPerSecond,
+                                     kMaxLineBurst,
+                                     kMaxLineBurst,
+                                     0 };
+  line_rate_limiter mFailures{ kLinesPerSecond,
+                               kMaxLineBurst,
+                               kMaxLineBurst,
+                               0 };
+  std::uint64_t mRateLimitedLines = 0;
 };
 
 std::shared_ptr<bounded_sink>&
@@ -162,7 +171,7 @@
     spdlog::get(aProcess) ? spdlog::get(aProcess)
                           : spdlog::stderr_logger_st(aProcess);
   logger->set_pattern(kPattern);
-  logger->set_level(LibraryLevel(aLevel));
+  logger->set_level(SpdlogLevel(aLevel));
   logger->flush_on(spdlog::level::info);
   spdlog::set_default_logger(logger);
 }
@@ -174,7 +183,7 @@
   const std::shared_ptr<spdlog::logger> logger =
     std::make_shared<spdlog::logger>(aProcess, BoundedSink());
   logger->set_pattern(kPattern);
-  logger->set_level(LibraryLevel(aLevel));
+  logger->set_level(SpdlogLevel(aLevel));
   spdlog::set_default_logger(logger);
 }
 
@@ -195,7 +204,7 @@
     std::string_view aEvent,
     std::initializer_list<log_field> aFields)
 {
-  const spdlog::level::level_enum level = LibraryLevel(aLevel);
+  const spdlog::level::level_enum level = SpdlogLevel(aLevel);
   if (!spdlog::default_logger_raw()->should_log(level)) {
     return;
   }
--- a/Libraries/LibObserve/Metrics.cpp
+++ b/Libraries/LibObserve/Metrics.cpp
@@ -19,10 +19,10 @@
 
 /// Seconds. They take in the objectives and pause limits of both deployments
 /// (0.1 to 4 s), the time limits of calls, and what a lookup takes.
-constexpr std::array<double, 17> kBounds = { 0.002, 0.005, 0.01, 0.02, 0.05,
-                                             0.1,   0.15,  0.2,  0.25, 0.3,
-                                             0.6,   1,     1.5,  3,    4,
-                                             10,    15 };
+constexpr std::array<double, 17> kBucketBounds = {
+  0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.25,
+  0.3,   0.6,   1,    1.5,  3,    4,   10,   15
+};
 
 std::string
 FamilyOf(const std::string& aName)
@@ -31,9 +31,9 @@
 }
 
 void
-WriteSimple(std::string& aText,
-            const std::map<std::string, double>& aValues,
-            std::string_view aType)
+WriteSamples(std::string& aText,
+             const std::map<std::string, double>& aValues,
+             std::string_view aType)
 {
   std::set<std::string> families;
   for (const auto& [name, value] : aValues) {
@@ -52,11 +52,11 @@
   using accumulator =
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum>>;
   using buckets = decltype(boost::histogram::make_histogram(
-    boost::histogram::axis::variable<>(kBounds)));
+    boost::histogram::axis::variable<>(kBucketBounds)));
 
-  accumulator mSums;
+  accumulator mCountAndSum;
   buckets mBuckets = boost::histogram::make_histogram(
-    boost::histogram::axis::variable<>(kBounds));
+    boost::histogram::axis::variable<>(kBucketBounds));
 };
 
 histogram::histogram()
@@ -69,7 +69,7 @@
 void
 histogram::Add(double aValue)
 {
-  mStorage->mSums(aValue);
+  mStorage->mCountAndSum(aValue);
   mStorage->mBuckets(aValue);
 }
 
@@ -79,15 +79,16 @@
   aText += fmt::format("# TYPE {} histogram\n", aName);
   // The bucket before the first bound counts what lies under it.
   double below = 0;
-  for (std::size_t i = 0; i < kBounds.size(); ++i) {
+  for (std::size_t i = 0; i < kBucketBounds.size(); ++i) {
     below +=
       static_cast<double>(mStorage->mBuckets.at(static_cast<int>(i) - 1));
-    aText +=
-      fmt::format("{}_bucket{{le=\"{:g}\"}} {}\n", aName, kBounds[i], below);
+    aText += fmt::format(
+      "{}_bucket{{le=\"{:g}\"}} {}\n", aName, kBucketBounds[i], below);
   }
-  const std::size_t count = acc::count(mStorage->mSums);
+  const std::size_t count = acc::count(mStorage->mCountAndSum);
   aText += fmt::format("{}_bucket{{le=\"+Inf\"}} {}\n", aName, count);
-  aText += fmt::format("{}_sum {:.10g}\n", aName, acc::sum(mStorage->mSums));
+  aText +=
+    fmt::format("{}_sum {:.10g}\n", aName, acc::sum(mStorage->mCountAndSum));
   aText += fmt::format("{}_count {}\n", aName, count);
 }
 
@@ -124,8 +125,8 @@
 metrics::Exposition() const
 {
   std::string text;
-  WriteSimple(text, mCounters, "counter");
-  WriteSimple(text, mGauges, "gauge");
+  WriteSamples(text, mCounters, "counter");
+  WriteSamples(text, mGauges, "gauge");
   for (const auto& [name, values] : mHistograms) {
     values.Write(text, name);
   }
--- a/Libraries/LibStore/TableClient.cpp
+++ b/Libraries/LibStore/TableClient.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* kClaimTable = "claims";
 /// An answer later than this counts as lost.
-constexpr duration kStoreLimit = std::chrono::seconds(2);
+constexpr duration kStoreTimeout = std::chrono::seconds(2);
 constexpr std::size_t kLargestAnswer = std::size_t{ 16 } * 1024 * 1024;
 
 std::string
@@ -48,7 +48,7 @@
 }
 
 transaction_result
-ResultFrom(const http_response& aResponse)
+ParseTransactionResult(const http_response& aResponse)
 {
   const json answer = json::parse(aResponse.mBody, nullptr, false);
   if (!answer.is_object()) {
@@ -65,11 +65,11 @@
 }
 
 std::map<std::string, claim_row>
-RowsFrom(const json& aAnswer)
+ParseClaimRows(const json& aAnswer)
 {
   std::map<std::string, claim_row> rows;
   for (const auto& [key, value] : aAnswer.at("rows").items()) {
-    std::optional<claim_row> row = ClaimRowFrom(value);
+    std::optional<claim_row> row = ParseClaimRow(value);
     if (row) {
       rows.emplace(key, std::move(*row));
     }
@@ -78,7 +78,7 @@
 }
 
 std::optional<std::vector<listed_endpoint>>
-ListFrom(const http_response& aResponse)
+ParseEndpointList(const http_response& aResponse)
 {
   const json answer = json::parse(aResponse.mBody, nullptr, false);
   if (aResponse.mStatus != 200 || !answer.is_object() ||
@@ -87,7 +87,7 @@
   }
   std::vector<listed_endpoint> listed;
   for (const json& vm : answer["vms"]) {
-    std::optional<listed_endpoint> endpoint = ListedEndpointFrom(vm);
+    std::optional<listed_endpoint> endpoint = ParseListedEndpoint(vm);
     if (endpoint) {
       listed.push_back(std::move(*endpoint));
     }
@@ -113,8 +113,9 @@
   http_request request{ "POST", mUrl + "/tables/transact" };
   request.mBody = json{ { "puts", puts } }.dump();
   return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
-                     kStoreLimit)
-    .then([](http_response aResponse) { return ResultFrom(aResponse); })
+                     kStoreTimeout)
+    .then(
+      [](http_response aResponse) { return ParseTransactionResult(aResponse); })
     .catch_([](kj::Exception&&) { return transaction_result{}; });
 }
 
@@ -125,12 +126,12 @@
   http_request request{ "POST", mUrl + "/tables/read" };
   request.mBody = json{ { "table", kClaimTable }, { "keys", aKeys } }.dump();
   return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
-                     kStoreLimit)
+                     kStoreTimeout)
     .then([](http_response aResponse) -> rows {
       const json answer = json::parse(aResponse.mBody, nullptr, false);
       const bool good = aResponse.mStatus == 200 && answer.is_object() &&
                         answer.contains("rows") && answer["rows"].is_object();
-      return good ? rows(RowsFrom(answer)) : std::nullopt;
+      return good ? rows(ParseClaimRows(answer)) : std::nullopt;
     })
     .catch_([](kj::Exception&&) -> rows { return std::nullopt; });
 }
@@ -140,20 +141,20 @@
 {
   using endpoints = std::optional<std::vector<listed_endpoint>>;
   http_request request{ "GET", mUrl + "/vms" };
-  if (!mListTag.empty()) {
-    request.mHeaders.emplace("If-None-Match", mListTag);
+  if (!mListEtag.empty()) {
+    request.mHeaders.emplace("If-None-Match", mListEtag);
   }
   return WithTimeout(mHttp.Send(std::move(request), kLargestAnswer),
-                     kStoreLimit)
+                     kStoreTimeout)
     .then([this](http_response aResponse) -> endpoints {
       constexpr unsigned kNotModified = 304;
       if (aResponse.mStatus == kNotModified) {
         return mList;
       }
-      endpoints listed = ListFrom(aResponse);
+      endpoints listed = ParseEndpointList(aResponse);
       if (listed) {
         const auto tag = aResponse.mHeaders.find("etag");
-        mListTag = tag == aResponse.mHeaders.end() ? "" : tag->second;
+        mListEtag = tag == aResponse.mHeaders.end() ? "" : tag->second;
         mList = *listed;
       }
       return listed;
@@ -175,7 +176,7 @@
 }
 
 std::optional<claim_row>
-ClaimRowFrom(const json& aValue)
+ParseClaimRow(const json& aValue)
 {
   try {
     claim_row row;
@@ -206,7 +207,7 @@
 }
 
 std::optional<listed_endpoint>
-ListedEndpointFrom(const json& aValue)
+ParseListedEndpoint(const json& aValue)
 {
   try {
     listed_endpoint endpoint;
--- a/Libraries/LibStore/TableClient.h
+++ b/Libraries/LibStore/TableClient.h
@@ -48,7 +48,7 @@
 private:
   http_client& mHttp;
   std::string mUrl;
-  std::string mListTag;
+  std::string mListEtag;
   std::vector<listed_endpoint> mList;
 };
 
@@ -56,11 +56,11 @@
 ToJson(const claim_row& aRow);
 /// Nothing if the value is not a claim row.
 std::optional<claim_row>
-ClaimRowFrom(const json& aValue);
+ParseClaimRow(const json& aValue);
 
 json
 ToJson(const listed_endpoint& aEndpoint);
 std::optional<listed_endpoint>
-ListedEndpointFrom(const json& aValue);
+ParseListedEndpoint(const json& aValue);
 
 } // namespace primrose
--- a/Services/Agent/AgentService.h
+++ b/Services/Agent/AgentService.h
@@ -79,7 +79,7 @@
   std::uint64_t mSteps = 0;
   std::uint64_t mEventNumber = 0;
   kj::Maybe<kj::Promise<void>> mTimer;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
--- a/Services/Agent/GuardedCalls.h
+++ b/Services/Agent/GuardedCalls.h
@@ -87,7 +87,7 @@
   std::map<std::string, kj::Own<kj::PromiseFulfiller<void>>> mWaiters;
   kj::Maybe<kj::Promise<void>> mTimer;
   std::size_t mInFlight = 0;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
--- a/Services/Agent/Main.cpp
+++ b/Services/Agent/Main.cpp
@@ -55,14 +55,15 @@
   BOOST_LEAF_ASSIGN(settings_tree const tree, LoadTree(settings.mTree));
   BOOST_LEAF_ASSIGN(ip_address const rpc, ParseAddress(settings.mRpc));
   BOOST_LEAF_ASSIGN(ip_address const http, ParseAddress(settings.mHttp));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   StartLog(settings.mName, aOptions.mLogLevel);
   const system_clock_source clock;
   main_loop loop;
-  agent_service service(clock, settings, tree, [&loop]() { loop.QuitSoon(); });
+  agent_service service(
+    clock, settings, tree, [&loop]() { loop.QuitAfterDelay(); });
   BOOST_LEAF_ASSIGN(std::unique_ptr<rpc_server> const rpcServer,
                     rpc_server::Open(rpc, MakeGate(service)));
   BOOST_LEAF_ASSIGN(
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -32,7 +32,7 @@
   entry_state& mBoard;
   table_client& mStore;
   std::map<std::string, std::shared_ptr<agent_link>> mAgentConnections;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -177,7 +177,7 @@
 call_run::ReturnAnswer(wire::CallAnswer::Reader aAnswer)
 {
   const std::optional<error_kind> kind =
-    KindNamed(TextFrom(aAnswer.getErrorKind()));
+    ParseErrorKind(TextFrom(aAnswer.getErrorKind()));
   const ran_state ran = FromWire(aAnswer.getRan());
   if (kind) {
     failure reported{ *kind, TextFrom(aAnswer.getErrorMessage()), ran, {} };
@@ -205,7 +205,7 @@
         { "status", aAnswer.getStatus() },
         { "replayed", aAnswer.getReplayed() },
         { "seconds", Seconds(mClock.Now() - mStarted) } });
-  mExchange->SetHeader("Primrose-Ran", std::string(RanName(ran)));
+  mExchange->SetHeader("Primrose-Ran", std::string(RanStateName(ran)));
   if (aAnswer.getReplayed()) {
     mExchange->SetHeader("Idempotent-Replayed", "true");
   }
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -262,7 +262,7 @@
       }
       const std::string errorName = TextFrom(ending.getErrorKind());
       return HandleAttemptEnd(
-        failure{ KindNamed(errorName).value_or(error_kind::EndpointFailed),
+        failure{ ParseErrorKind(errorName).value_or(error_kind::EndpointFailed),
                  TextFrom(ending.getErrorMessage()),
                  mRan,
                  std::nullopt },
--- a/Services/Entry/EntryService.h
+++ b/Services/Entry/EntryService.h
@@ -44,7 +44,7 @@
   id_maker mAttemptIds;
   placer mPlacer;
   std::function<void()> mDrained;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
--- a/Services/Entry/EntryState.cpp
+++ b/Services/Entry/EntryState.cpp
@@ -49,7 +49,7 @@
     aRequest,
     decision_kind::Finish,
     fmt::format(
-      "{}: {} (ran: {})", kind, aFailure.mMessage, RanName(aFailure.mRan)),
+      "{}: {} (ran: {})", kind, aFailure.mMessage, RanStateName(aFailure.mRan)),
     aPath,
     { "time_limit_s", "attempts" });
   Log(log_level::Warning,
@@ -58,7 +58,7 @@
         { "organisation", aPath.mOrganisation },
         { "service", aPath.mService },
         { "kind", kind },
-        { "ran", RanName(aFailure.mRan) },
+        { "ran", RanStateName(aFailure.mRan) },
         { "why", aFailure.mMessage } });
 }
 
--- a/Services/Entry/Main.cpp
+++ b/Services/Entry/Main.cpp
@@ -22,14 +22,15 @@
                     LoadNodeSettings(aOptions.mSettingsFile, node_role::Entry));
   BOOST_LEAF_ASSIGN(settings_tree const tree, LoadTree(settings.mTree));
   BOOST_LEAF_ASSIGN(ip_address const http, ParseAddress(settings.mHttp));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   StartLog(settings.mName, aOptions.mLogLevel);
   const system_clock_source clock;
   main_loop loop;
-  entry_service service(clock, settings, tree, [&]() { loop.QuitSoon(); });
+  entry_service service(
+    clock, settings, tree, [&]() { loop.QuitAfterDelay(); });
   BOOST_LEAF_ASSIGN(
     std::unique_ptr<http_server> const server,
     http_server::Open(http.mHost,
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -61,7 +61,7 @@
                       !aHistory.mRequests.empty();
   std::cout << "logs=" << aFolder << " broken=" << broken.size()
             << (served ? "" : " served=too_little") << '\n';
-  return broken.empty() && served ? kExitGood : kExitFailed;
+  return broken.empty() && served ? kExitSuccess : kExitFailure;
 }
 
 } // namespace
@@ -92,7 +92,7 @@
     options::store(options::parse_command_line(argc, argv, known), values);
     if (values.count("help") != 0) {
       std::cout << known;
-      return kExitGood;
+      return kExitSuccess;
     }
     options::notify(values);
   } catch (const options::error& problem) {
--- a/Tests/TestMain.cpp
+++ b/Tests/TestMain.cpp
@@ -21,7 +21,7 @@
 
 /// By the test's name, its line of KNOWN-RED.txt.
 std::map<std::string, std::string>
-KnownRed()
+KnownFailures()
 {
   std::map<std::string, std::string> known;
   std::ifstream file(PRIMROSE_KNOWN_RED);
@@ -65,7 +65,7 @@
   CppUnit::BriefTestProgressListener progress;
   events.addListener(&collected);
   events.addListener(&progress);
-  std::map<std::string, std::string> passedOver = KnownRed();
+  std::map<std::string, std::string> passedOver = KnownFailures();
   CppUnit::TestSuite chosen("chosen");
   for (int i = 1; i < argc; ++i) {
     if (std::string_view(argv[i]) == "--all") {
--- a/Tests/Unit/CoreTest.cpp
+++ b/Tests/Unit/CoreTest.cpp
@@ -8,36 +8,37 @@
 class core_test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(core_test);
-  CPPUNIT_TEST(TableStandsInOrder);
-  CPPUNIT_TEST(NamesAreUnique);
-  CPPUNIT_TEST(OwnerOfRequest);
-  CPPUNIT_TEST(NearestWordOnlyWhenNear);
-  CPPUNIT_TEST(NumbersUseTheWholeText);
-  CPPUNIT_TEST(LogValuesCannotForgeALine);
-  CPPUNIT_TEST(RendezvousMovesOnlyTheLostNodesKeys);
-  CPPUNIT_TEST(TimesAreCountedUnderTheirBounds);
+  CPPUNIT_TEST(ErrorTableMatchesEnumeration);
+  CPPUNIT_TEST(ErrorNamesAreUnique);
+  CPPUNIT_TEST(OwnerIsParsedFromRequestId);
+  CPPUNIT_TEST(NearestWordIgnoresDistantWords);
+  CPPUNIT_TEST(ParseNumberRejectsPartialNumbers);
+  CPPUNIT_TEST(LogValuesEscapeLineBreaks);
+  CPPUNIT_TEST(RemovedNodeMovesOnlyItsKeys);
+  CPPUNIT_TEST(HistogramCountsAreCumulative);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  static constexpr int kKinds = static_cast<int>(error_kind::Internal) + 1;
+  static constexpr int kErrorKindCount =
+    static_cast<int>(error_kind::Internal) + 1;
 
-  void TableStandsInOrder()
+  void ErrorTableMatchesEnumeration()
   {
-    for (int i = 0; i < kKinds; ++i) {
+    for (int i = 0; i < kErrorKindCount; ++i) {
       const error_kind kind = static_cast<error_kind>(i);
       CPPUNIT_ASSERT(AnswerFor(kind).mKind == kind);
     }
   }
 
-  void NamesAreUnique()
+  void ErrorNamesAreUnique()
   {
-    for (int i = 0; i < kKinds; ++i) {
+    for (int i = 0; i < kErrorKindCount; ++i) {
       const error_kind kind = static_cast<error_kind>(i);
-      CPPUNIT_ASSERT(KindNamed(AnswerFor(kind).mName) == kind);
+      CPPUNIT_ASSERT(ParseErrorKind(AnswerFor(kind).mName) == kind);
     }
   }
 
-  void OwnerOfRequest()
+  void OwnerIsParsedFromRequestId()
   {
     id_maker ids("entry-7.mapo", 0xabcdef);
     CPPUNIT_ASSERT_EQUAL(std::string("entry-7.mapo"),
@@ -46,7 +47,7 @@
     CPPUNIT_ASSERT(OwnerOf(".1").empty());
   }
 
-  void NearestWordOnlyWhenNear()
+  void NearestWordIgnoresDistantWords()
   {
     const std::vector<std::string> known = { "probes", "priority" };
     CPPUNIT_ASSERT_EQUAL(std::string("probes"),
@@ -54,7 +55,7 @@
     CPPUNIT_ASSERT(!NearestWord("quarterly", known));
   }
 
-  void NumbersUseTheWholeText()
+  void ParseNumberRejectsPartialNumbers()
   {
     CPPUNIT_ASSERT_EQUAL(1.5, ParseNumber("1.5").value_or(0));
     for (const char* const wrong : { "", "1s", " 1", "nan", "inf", "1e999" }) {
@@ -62,14 +63,14 @@
     }
   }
 
-  void LogValuesCannotForgeALine()
+  void LogValuesEscapeLineBreaks()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("plain"), QuoteLogValue("plain"));
     CPPUNIT_ASSERT_EQUAL(std::string("\"a\\x0aevent=b\""),
                          QuoteLogValue("a\nevent=b"));
   }
 
-  void RendezvousMovesOnlyTheLostNodesKeys()
+  void RemovedNodeMovesOnlyItsKeys()
   {
     const std::vector<std::string> nodes = { "a", "b", "c", "d" };
     const auto home = [&](const std::string& aKey, std::size_t aCount) {
@@ -88,7 +89,7 @@
     }
   }
 
-  void TimesAreCountedUnderTheirBounds()
+  void HistogramCountsAreCumulative()
   {
     metrics counted;
     for (const double seconds : { 0.001, 0.26, 0.26, 99.0 }) {
--- a/Tests/Unit/HttpReaderTest.cpp
+++ b/Tests/Unit/HttpReaderTest.cpp
@@ -205,7 +205,7 @@
 
   void LineBudgetRefills()
   {
-    line_budget budget{ 10, 5, 5, 0 };
+    line_rate_limiter budget{ 10, 5, 5, 0 };
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
       taken += TakeLine(budget, 0) ? 1 : 0;
--- a/Tests/Unit/ParserTest.cpp
+++ b/Tests/Unit/ParserTest.cpp
@@ -135,11 +135,11 @@
       row.mBody = *rc::gen::arbitrary<std::string>();
       row.mDone = *rc::gen::arbitrary<bool>();
       const std::optional<claim_row> back =
-        ClaimRowFrom(json::parse(ToJson(row).dump()));
+        ParseClaimRow(json::parse(ToJson(row).dump()));
       RC_ASSERT(back == row);
     });
     CPPUNIT_ASSERT(held);
-    CPPUNIT_ASSERT(!ClaimRowFrom(json{ { "attempt", 1 } }));
+    CPPUNIT_ASSERT(!ParseClaimRow(json{ { "attempt", 1 } }));
   }
 };
 CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(parser_test, "parser");
--- a/Utilities/Bench/Main.cpp
+++ b/Utilities/Bench/Main.cpp
@@ -18,9 +18,9 @@
 {
   BOOST_LEAF_ASSIGN(experiment const planned,
                     LoadExperiment(aOptions.mSettingsFile));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   const std::size_t threads = aOptions.mValues["threads"].as<std::size_t>();
   const bool terminal = isatty(STDERR_FILENO) != 0;
@@ -42,7 +42,7 @@
     BOOST_LEAF_CHECK(
       WriteReport(planned, runs, aOptions.mValues["output"].as<std::string>()));
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 } // namespace
@@ -55,11 +55,11 @@
     PRIMROSE_VERSION,
     "load and policy experiments in virtual time (--settings: an experiment)"
   };
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "output",
     boost::program_options::value<std::string>(),
     "folder for the table, JSON lines, data and gnuplot script");
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "threads",
     boost::program_options::value<std::size_t>()->default_value(
       std::max(1U, std::thread::hardware_concurrency() / 2)),
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -117,7 +117,7 @@
   if (aContext.mJson) {
     std::cout << all.dump(2) << "\n";
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -142,13 +142,13 @@
     }
     if (aContext.mJson) {
       std::cout << answer.mValue->dump(2) << "\n";
-      return kExitGood;
+      return kExitSuccess;
     }
     std::cout << fmt::format("{} at {}\n", request, owner);
     for (const json& decision : (*answer.mValue)["decisions"]) {
       PrintDecision(decision);
     }
-    return kExitGood;
+    return kExitSuccess;
   }
   return Fail(why);
 }
@@ -163,7 +163,7 @@
     return Fail(error_kind::EndpointFailed, response.mBody);
   }
   std::cout << address << " drains: " << response.mBody << "\n";
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -184,7 +184,7 @@
         "PUT",
         "http://" + aContext.mSettings.mPlatform + "/vms/" + words[0],
         ToJson(endpoint).dump()));
-  return response.mStatus == kGood ? kExitGood : kExitFailed;
+  return response.mStatus == kGood ? kExitSuccess : kExitFailure;
 }
 
 result<int>
@@ -197,7 +197,7 @@
   for (std::string line; std::getline(lines, line);) {
     if (line.starts_with(wanted)) {
       std::cout << line.substr(wanted.size()) << "\n";
-      return kExitGood;
+      return kExitSuccess;
     }
   }
   return Fail(error_kind::NotFound, url + " has no " + aContext.mArguments[1]);
@@ -219,7 +219,7 @@
             static_cast<double>((*status)["endpoints"].size()) >= wanted;
     }
     if (all) {
-      return kExitGood;
+      return kExitSuccess;
     }
     Delay(kPause).wait(aContext.mLoop.Scope());
   }
--- a/Utilities/Control/LogCommands.cpp
+++ b/Utilities/Control/LogCommands.cpp
@@ -33,12 +33,12 @@
   }
   if (aContext.mJson) {
     std::cout << json(story).dump() << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   for (const std::string& line : story) {
     std::cout << line << "\n";
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 } // namespace primrose::control
--- a/Utilities/Control/Main.cpp
+++ b/Utilities/Control/Main.cpp
@@ -228,17 +228,17 @@
   StartLog("primrosectl", level);
   if (values.count("help") != 0) {
     PrintHelp(visible);
-    return kExitGood;
+    return kExitSuccess;
   }
   if (values.count("version") != 0) {
     std::cout << "primrosectl " << PRIMROSE_VERSION << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   if (values.count("check") != 0 && values.count("settings") != 0) {
     const outcome<control_settings> read = Capture<control_settings>([&]() {
       return LoadControlSettings(values["settings"].as<std::string>());
     });
-    return read ? kExitGood : ReportFailure("primrosectl", read.mFailure);
+    return read ? kExitSuccess : ReportFailure("primrosectl", read.mFailure);
   }
   if (values.count("words") == 0) {
     return Complain("no command");
--- a/Utilities/Control/SettingsCommands.cpp
+++ b/Utilities/Control/SettingsCommands.cpp
@@ -59,7 +59,7 @@
                            file,
                            tree.Organisations().size(),
                            tree.Models().size());
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -78,7 +78,7 @@
   }
   if (aContext.mJson) {
     std::cout << document.dump(2) << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   for (const auto& [name, row] : document.items()) {
     std::cout << fmt::format("{:<24}{:>14g}  {:<20} from {}\n",
@@ -87,7 +87,7 @@
                              row["unit"].get<std::string>(),
                              row["from"].get<std::string>());
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -98,7 +98,7 @@
   const json difference = json::diff(before, after);
   if (aContext.mJson) {
     std::cout << difference.dump(2) << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   for (const json& change : difference) {
     std::cout << fmt::format("{:<8}{} {}\n",
@@ -108,7 +108,7 @@
                                ? DescribeValue(change["value"])
                                : std::string());
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
@@ -123,13 +123,13 @@
   if (aContext.mJson) {
     std::cout << json{ { "key", key }, { "sha256", KeyHash(key) } }.dump()
               << "\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   std::cout << fmt::format("key (for the caller)     {}\n"
                            "sha256 (for the settings) {}\n",
                            key,
                            KeyHash(key));
-  return kExitGood;
+  return kExitSuccess;
 }
 
 } // namespace primrose::control
--- a/Utilities/Load/Main.cpp
+++ b/Utilities/Load/Main.cpp
@@ -106,7 +106,7 @@
   }
   std::cout << fmt::format(
     "{} of {} requests ended rightly\n", aTotal - wrong, aTotal);
-  return wrong == 0 ? kExitGood : kExitFailed;
+  return wrong == 0 ? kExitSuccess : kExitFailure;
 }
 
 /// Alternates between the entry and the engine itself, so that whatever else
@@ -132,16 +132,16 @@
                              own / engine,
                              kRounds);
   }
-  return kExitGood;
+  return kExitSuccess;
 }
 
 result<int>
 Start(const common_options& aOptions)
 {
   BOOST_LEAF_ASSIGN(load_plan const plan, LoadPlanFile(aOptions.mSettingsFile));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   const system_clock_source clock;
   main_loop loop;
@@ -169,7 +169,7 @@
   program_description program{ "primrose-load",
                                PRIMROSE_VERSION,
                                "sends a checked load through entries" };
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "compare",
     boost::program_options::value<std::string>(),
     "address of an engine: compare the time to the first token through the "
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -60,7 +60,7 @@
                         ReadFaults(mFace->mFaults, aExchange->Body()));
       mFace->FaultsChanged();
       if (mFace->mFaults.mDie) {
-        std::_Exit(kExitFailed);
+        std::_Exit(kExitFailure);
       }
     }
     AnswerJson(aExchange, ToJson(mFace->mFaults));
@@ -69,7 +69,7 @@
 
   std::unique_ptr<face> mFace;
   std::vector<exchange> mSilenced;
-  task_failures mFailures;
+  task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
@@ -113,9 +113,9 @@
   BOOST_LEAF_ASSIGN(std::unique_ptr<face> made,
                     MakeFace(kind, settings, listLag, clock));
   BOOST_LEAF_ASSIGN(ip_address const address, ParseAddress(settings.mHttp));
-  if (aOptions.mCheck) {
+  if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
-    return kExitGood;
+    return kExitSuccess;
   }
   StartLog(settings.mName, aOptions.mLogLevel);
   stand_in standIn(std::move(made));
@@ -144,11 +144,11 @@
     PRIMROSE_VERSION,
     "stands in for a model engine, a plain service or the platform"
   };
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "face",
     boost::program_options::value<std::string>()->default_value("engine"),
     "engine, service or platform");
-  program.mExtra.add_options()(
+  program.mExtraOptions.add_options()(
     "list-lag-ms",
     boost::program_options::value<std::int64_t>()->default_value(kListLagMs),
     "platform: how late a change shows in the list of VMs");
