--- a/Libraries/LibGateway/Attempt.cpp
+++ b/Libraries/LibGateway/Attempt.cpp
@@ -159,7 +159,7 @@
   // used again, or the next request would be given them.
   if (mChannel->Open() && mReader.Head().mKeepAlive &&
       mChannel->Input().empty() && !AnsweredEarly() &&
-      !mReader.EndsWithConnection()) {
+      !mReader.IsCloseDelimited()) {
     mConnections.Keep(mEndpoint.mId,
                       std::move(mChannel),
                       mFacts.mIdleTimeout.value_or(kUsualIdleTimeout));
@@ -181,8 +181,7 @@
     return;
   }
   if (aEnd == channel_end::Finished && mHeadAccepted &&
-      mReader.EndsWithConnection() &&
-      mReader.Finish() == read_state::Complete) {
+      mReader.IsCloseDelimited() && mReader.Finish() == read_state::Complete) {
     Complete();
     return;
   }
--- a/Libraries/LibGateway/ExchangeAnswer.cpp
+++ b/Libraries/LibGateway/ExchangeAnswer.cpp
@@ -270,7 +270,7 @@
   std::string head = "HTTP/1.1 " + std::to_string(aHead.mStatus) + ' ';
   head.append(ReasonPhrase(aHead.mStatus)).append("\r\n");
   for (const http_field& field : aHead.mFields) {
-    if (!ConcernsOneConnection(aHead.mFields, field.mName)) {
+    if (!IsHopByHopField(aHead.mFields, field.mName)) {
       AppendField(head, field.mName, field.mValue);
     }
   }
--- a/Libraries/LibGateway/GatewayRegistry.h
+++ b/Libraries/LibGateway/GatewayRegistry.h
@@ -34,7 +34,7 @@
   gateway_state& mBoard;
   learnt mOnLoaded;
   std::vector<std::string> mHosts;
-  http_caller mCaller;
+  serial_http_client mCaller;
 };
 
 } // namespace primrose
--- a/Libraries/LibGateway/MemoryReservation.cpp
+++ b/Libraries/LibGateway/MemoryReservation.cpp
@@ -27,8 +27,8 @@
   , mTokens(aTokensEach)
 {
   for (endpoint& one : aHolders) {
-    std::unique_ptr<http_caller> caller =
-      std::make_unique<http_caller>(mLoop, one.mAddress);
+    std::unique_ptr<serial_http_client> caller =
+      std::make_unique<serial_http_client>(mLoop, one.mAddress);
     mHolders.push_back({ std::move(one), std::move(caller), false });
   }
 }
--- a/Libraries/LibGateway/MemoryReservation.h
+++ b/Libraries/LibGateway/MemoryReservation.h
@@ -36,7 +36,7 @@
   struct holder
   {
     endpoint mEndpoint;
-    std::unique_ptr<http_caller> mCaller;
+    std::unique_ptr<serial_http_client> mCaller;
     bool mGranted = false;
   };
   void Ask(holder& aHolder,
--- a/Libraries/LibGateway/PeerSnapshot.cpp
+++ b/Libraries/LibGateway/PeerSnapshot.cpp
@@ -127,7 +127,7 @@
   mFetching = true;
   // The question before this one may be what asks, from within its own answer.
   mLoop.DeleteLater(std::move(mCaller));
-  mCaller = std::make_shared<http_caller>(
+  mCaller = std::make_shared<serial_http_client>(
     mLoop, ip_address{ aHost, mSettings.mPeers.mPort });
   mCaller->Call(
     { "GET", "/beliefs", "", "", {} },
--- a/Libraries/LibGateway/PeerSnapshot.h
+++ b/Libraries/LibGateway/PeerSnapshot.h
@@ -41,7 +41,7 @@
   event_loop& mLoop;
   const gateway_settings& mSettings;
   std::unique_ptr<tcp_listener> mListener;
-  std::shared_ptr<http_caller> mCaller;
+  std::shared_ptr<serial_http_client> mCaller;
   bool mFetching = false;
 };
 
--- a/Libraries/LibGateway/QuarantineTable.h
+++ b/Libraries/LibGateway/QuarantineTable.h
@@ -55,7 +55,7 @@
   std::set<request_digest> mToAdd;
   std::set<request_digest> mToRemove;
   time_point mRetryAt{};
-  http_caller mCaller;
+  serial_http_client mCaller;
 };
 
 /// A row's key, and what it says; nothing if the key is none of this table.
--- a/Libraries/LibGateway/TableFollower.cpp
+++ b/Libraries/LibGateway/TableFollower.cpp
@@ -87,12 +87,12 @@
   }
   // A question that was just asked, or whose answer is coming, is not silent.
   if (mCaller.Busy() &&
-      (mCaller.Received() > 0 || mCaller.Asking() < aPatience)) {
+      (mCaller.Received() > 0 || mCaller.TimeInFlight() < aPatience)) {
     Log(log_level::Info,
         "store_answer_awaited",
         { { "table", mTable },
           { "revision", mRevision.value_or(0) },
-          { "asked_ms", Milliseconds(mCaller.Asking()) },
+          { "asked_ms", Milliseconds(mCaller.TimeInFlight()) },
           { "received_bytes", mCaller.Received() } });
     return;
   }
@@ -100,7 +100,7 @@
       "store_asked_anew",
       { { "table", mTable },
         { "revision", mRevision.value_or(0) },
-        { "asked_ms", Milliseconds(mCaller.Asking()) },
+        { "asked_ms", Milliseconds(mCaller.TimeInFlight()) },
         { "received_bytes", mCaller.Received() } });
   if (mCaller.Busy()) {
     mBoard.mMetrics.Count(
@@ -109,7 +109,7 @@
     // the store never counts as lost here, and no peer is asked.
     RecordFailure(table_read_result{});
   }
-  mCaller.Abandon();
+  mCaller.CancelCalls();
   mLoop.Cancel(mTimer);
   Ask();
 }
--- a/Libraries/LibGateway/TableFollower.h
+++ b/Libraries/LibGateway/TableFollower.h
@@ -67,7 +67,7 @@
   bool mChangeBatchPending =
     false; ///< The next question waits for further changes.
   listener mListener;
-  http_caller mCaller;
+  serial_http_client mCaller;
   table_read_result mGathered;
   std::optional<std::uint64_t> mRevision;
   /// Changes may have been missed. They are not asked for one after the other,
--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr unsigned kMostConnections = 4096;
-constexpr unsigned kIdleSeconds = 30;
+constexpr unsigned kMaxConnections = 4096;
+constexpr unsigned kIdleTimeoutSeconds = 30;
 constexpr gsize kReadSize = gsize{ 64 } * 1024;
 
 /// Cancels a GLib operation when the promise that waits for it is dropped.
@@ -189,13 +189,13 @@
 http_client::http_client()
   : mSession(SOUP_SESSION(g_object_new(SOUP_TYPE_SESSION,
                                        "max-conns",
-                                       kMostConnections,
+                                       kMaxConnections,
                                        "max-conns-per-host",
-                                       kMostConnections,
+                                       kMaxConnections,
                                        "timeout",
                                        0U,
                                        "idle-timeout",
-                                       kIdleSeconds,
+                                       kIdleTimeoutSeconds,
                                        nullptr)))
 {
 }
@@ -244,16 +244,16 @@
 }
 
 kj::Promise<http_response>
-http_client::Send(http_request aRequest, std::size_t aLargestBody)
+http_client::Send(http_request aRequest, std::size_t aMaxBodyBytes)
 {
   return Open(std::move(aRequest))
-    .then([aLargestBody](kj::Own<http_stream> aStream) {
+    .then([aMaxBodyBytes](kj::Own<http_stream> aStream) {
       soup_stream& stream = kj::downcast<soup_stream>(*aStream);
       http_response response;
       response.mStatus = stream.Status();
       response.mContentType = stream.Header("Content-Type");
       response.mHeaders = ResponseHeaders(stream.Message());
-      return ReadAll(kj::mv(aStream), std::string(), aLargestBody)
+      return ReadAll(kj::mv(aStream), std::string(), aMaxBodyBytes)
         .then([response = std::move(response)](std::string aBody) mutable {
           response.mBody = std::move(aBody);
           return response;
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -59,7 +59,7 @@
   http_client& operator=(const http_client&) = delete;
 
   kj::Promise<http_response> Send(http_request aRequest,
-                                  std::size_t aLargestBody = kLargestBody);
+                                  std::size_t aMaxBodyBytes = kLargestBody);
   kj::Promise<kj::Own<http_stream>> Open(http_request aRequest);
 
 private:
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -19,7 +19,7 @@
 constexpr const char* kJsonType = "application/json";
 
 bool
-PeerHasGone(GSocket* aSocket)
+HasPeerClosed(GSocket* aSocket)
 {
   char byte = 0;
   const ssize_t peeked =
@@ -32,10 +32,10 @@
 }
 
 void
-SetWholeBody(SoupServerMessage* aMessage,
-             unsigned aStatus,
-             const char* aContentType,
-             const std::string& aBody)
+SetResponse(SoupServerMessage* aMessage,
+            unsigned aStatus,
+            const char* aContentType,
+            const std::string& aBody)
 {
   soup_server_message_set_status(aMessage, aStatus, nullptr);
   soup_server_message_set_response(
@@ -43,16 +43,16 @@
 }
 
 void
-RefuseBody(SoupServerMessage* aMessage, std::size_t aLargest)
+RejectOversizedBody(SoupServerMessage* aMessage, std::size_t aLargest)
 {
   const failure tooLarge{ error_kind::BodyTooLarge,
                           fmt::format("the body is over {} bytes", aLargest),
                           ran_state::No,
                           std::nullopt };
-  SetWholeBody(aMessage,
-               AnswerFor(tooLarge.mKind).mStatus,
-               kJsonType,
-               ErrorBody(tooLarge).dump());
+  SetResponse(aMessage,
+              AnswerFor(tooLarge.mKind).mStatus,
+              kJsonType,
+              ErrorBody(tooLarge).dump());
   soup_message_headers_replace(
     soup_server_message_get_response_headers(aMessage), "Connection", "close");
 }
@@ -69,7 +69,7 @@
   mWroteSignal = g_signal_connect(
     mMessage, "wrote-body-data", G_CALLBACK(&http_exchange::WroteChunk), this);
   mWatch = g_timeout_add(
-    kHangupCheckMilliseconds, &http_exchange::LookForHangup, this);
+    kHangupCheckMilliseconds, &http_exchange::CheckForHangup, this);
 }
 
 http_exchange::~http_exchange()
@@ -83,7 +83,7 @@
   if (mStreaming && !mOver) {
     EndStream();
   }
-  StopWatching();
+  StopHangupChecks();
   g_signal_handler_disconnect(mMessage, mFinishedSignal);
   g_signal_handler_disconnect(mMessage, mWroteSignal);
   g_object_unref(mMessage);
@@ -155,7 +155,7 @@
     return;
   }
   mAnswered = true;
-  SetWholeBody(mMessage, aStatus, aContentType.c_str(), aBody);
+  SetResponse(mMessage, aStatus, aContentType.c_str(), aBody);
   soup_server_message_unpause(mMessage);
 }
 
@@ -194,7 +194,7 @@
   if (!mStreaming || mOver || aBytes.empty()) {
     return;
   }
-  mBacklog += aBytes.size();
+  mUnsentBytes += aBytes.size();
   soup_message_body_append(soup_server_message_get_response_body(mMessage),
                            SOUP_MEMORY_COPY,
                            aBytes.data(),
@@ -216,7 +216,7 @@
 void
 http_exchange::OnHangup(std::function<void()> aHandler)
 {
-  mHangup = std::move(aHandler);
+  mHangupHandler = std::move(aHandler);
 }
 
 void
@@ -225,9 +225,9 @@
   http_exchange* const self = static_cast<http_exchange*>(aSelf);
   const bool cutOff = !self->mAnswered || self->mStreaming;
   self->mOver = true;
-  self->StopWatching();
+  self->StopHangupChecks();
   if (cutOff) {
-    self->HangUp();
+    self->NotifyHangup();
   }
 }
 
@@ -235,15 +235,15 @@
 http_exchange::WroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf)
 {
   http_exchange* const self = static_cast<http_exchange*>(aSelf);
-  self->mBacklog -= std::min<std::size_t>(self->mBacklog, aSize);
+  self->mUnsentBytes -= std::min<std::size_t>(self->mUnsentBytes, aSize);
 }
 
 int
-http_exchange::LookForHangup(void* aSelf)
+http_exchange::CheckForHangup(void* aSelf)
 {
   http_exchange* const self = static_cast<http_exchange*>(aSelf);
   GSocket* const socket = soup_server_message_get_socket(self->mMessage);
-  if (socket != nullptr && !PeerHasGone(socket)) {
+  if (socket != nullptr && !HasPeerClosed(socket)) {
     return G_SOURCE_CONTINUE;
   }
   self->mWatch = 0;
@@ -251,24 +251,24 @@
     self->mOver = true;
     // Let libsoup finish the message: it writes, fails and closes.
     soup_server_message_unpause(self->mMessage);
-    self->HangUp();
+    self->NotifyHangup();
   }
   return G_SOURCE_REMOVE;
 }
 
 void
-http_exchange::HangUp()
+http_exchange::NotifyHangup()
 {
-  if (!mHangup) {
+  if (!mHangupHandler) {
     return;
   }
-  const std::function<void()> handler = std::move(mHangup);
-  mHangup = nullptr;
+  const std::function<void()> handler = std::move(mHangupHandler);
+  mHangupHandler = nullptr;
   handler();
 }
 
 void
-http_exchange::StopWatching()
+http_exchange::StopHangupChecks()
 {
   if (mWatch != 0) {
     g_source_remove(mWatch);
@@ -279,18 +279,18 @@
 /// The functions that libsoup calls; they know the server's inside.
 struct server_callbacks
 {
-  static void Early(SoupServer*,
-                    SoupServerMessage* aMessage,
-                    const char*,
-                    GHashTable*,
-                    gpointer aSelf)
+  static void OnHeaders(SoupServer*,
+                        SoupServerMessage* aMessage,
+                        const char*,
+                        GHashTable*,
+                        gpointer aSelf)
   {
     const http_server* const self = static_cast<http_server*>(aSelf);
     const goffset announced = soup_message_headers_get_content_length(
       soup_server_message_get_request_headers(aMessage));
     if (announced > 0 &&
-        static_cast<std::size_t>(announced) > self->mLargestBody) {
-      RefuseBody(aMessage, self->mLargestBody);
+        static_cast<std::size_t>(announced) > self->mMaxBodyBytes) {
+      RejectOversizedBody(aMessage, self->mMaxBodyBytes);
       return;
     }
     g_signal_connect(aMessage, "got-chunk", G_CALLBACK(&GotChunk), aSelf);
@@ -307,14 +307,14 @@
       GPOINTER_TO_SIZE(g_object_get_data(G_OBJECT(aMessage), kSizeKey));
     const std::size_t size = before + g_bytes_get_size(aChunk);
     g_object_set_data(G_OBJECT(aMessage), kSizeKey, GSIZE_TO_POINTER(size));
-    if (size <= self->mLargestBody) {
+    if (size <= self->mMaxBodyBytes) {
       return;
     }
     SoupMessageBody* const body =
       soup_server_message_get_request_body(aMessage);
     soup_message_body_set_accumulate(body, FALSE);
     soup_message_body_truncate(body);
-    RefuseBody(aMessage, self->mLargestBody);
+    RejectOversizedBody(aMessage, self->mMaxBodyBytes);
   }
 
   static void Handle(SoupServer*,
@@ -334,15 +334,18 @@
 result<std::unique_ptr<http_server>>
 http_server::Open(const std::string& aHost,
                   std::uint16_t aPort,
-                  std::size_t aLargestBody,
+                  std::size_t aMaxBodyBytes,
                   handler aHandler)
 {
   std::unique_ptr<http_server> server(new http_server());
   server->mServer = soup_server_new("server-header", "primrosewind", nullptr);
-  server->mLargestBody = aLargestBody;
+  server->mMaxBodyBytes = aMaxBodyBytes;
   server->mHandler = std::move(aHandler);
-  soup_server_add_early_handler(
-    server->mServer, nullptr, &server_callbacks::Early, server.get(), nullptr);
+  soup_server_add_early_handler(server->mServer,
+                                nullptr,
+                                &server_callbacks::OnHeaders,
+                                server.get(),
+                                nullptr);
   soup_server_add_handler(
     server->mServer, nullptr, &server_callbacks::Handle, server.get(), nullptr);
   GSocketAddress* const address =
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -43,24 +43,24 @@
   void Send(std::string aBytes);
   void EndStream();
   /// Bytes sent but not yet taken by the caller's connection.
-  std::size_t Backlog() const { return mBacklog; }
+  std::size_t UnsentBytes() const { return mUnsentBytes; }
   bool IsStreaming() const { return mStreaming; }
 
   /// Called once when the caller's connection goes before the answer ended.
   void OnHangup(std::function<void()> aHandler);
-  bool IsOver() const { return mOver; }
+  bool IsFinished() const { return mOver; }
 
 private:
   static void Finished(SoupServerMessage*, void* aSelf);
   static void WroteChunk(SoupServerMessage*, unsigned aSize, void* aSelf);
-  static int LookForHangup(void* aSelf);
-  void HangUp();
-  void StopWatching();
+  static int CheckForHangup(void* aSelf);
+  void NotifyHangup();
+  void StopHangupChecks();
 
   SoupServerMessage* mMessage;
   std::string mPath;
-  std::function<void()> mHangup;
-  std::size_t mBacklog = 0;
+  std::function<void()> mHangupHandler;
+  std::size_t mUnsentBytes = 0;
   unsigned mWatch = 0;
   unsigned long mFinishedSignal = 0;
   unsigned long mWroteSignal = 0;
@@ -75,10 +75,10 @@
   using handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
   /// Listens on `aHost:aPort` (0: the system picks). A body over
-  /// `aLargestBody` is answered with `BodyTooLarge` before it is read.
+  /// `aMaxBodyBytes` is answered with `BodyTooLarge` before it is read.
   static result<std::unique_ptr<http_server>> Open(const std::string& aHost,
                                                    std::uint16_t aPort,
-                                                   std::size_t aLargestBody,
+                                                   std::size_t aMaxBodyBytes,
                                                    handler aHandler);
   ~http_server();
   http_server(const http_server&) = delete;
@@ -91,7 +91,7 @@
 
   SoupServer* mServer = nullptr;
   std::uint16_t mPort = 0;
-  std::size_t mLargestBody = 0;
+  std::size_t mMaxBodyBytes = 0;
   handler mHandler;
 
   friend struct server_callbacks;
--- a/Libraries/LibHttp/Json.cpp
+++ b/Libraries/LibHttp/Json.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kDeepestNesting = 32;
+constexpr int kMaxNesting = 32;
 
 leaf::error_id
 WrongTypeError(const std::string& aName,
@@ -27,13 +27,13 @@
   bool tooDeep = false;
   const json::parser_callback_t bound =
     [&tooDeep](int aDepth, json::parse_event_t, json&) {
-      tooDeep = tooDeep || aDepth > kDeepestNesting;
+      tooDeep = tooDeep || aDepth > kMaxNesting;
       return !tooDeep;
     };
   json document = json::parse(aText, bound, false);
   if (tooDeep) {
     return Fail(error_kind::MalformedJson,
-                fmt::format("nested deeper than {}", kDeepestNesting));
+                fmt::format("nested deeper than {}", kMaxNesting));
   }
   if (document.is_discarded()) {
     return Fail(error_kind::MalformedJson, "the body is not JSON");
--- a/Libraries/LibNet/Datagram.cpp
+++ b/Libraries/LibNet/Datagram.cpp
@@ -16,7 +16,7 @@
 /// The largest datagram that IPv4 carries.
 constexpr std::size_t kMostBytes = 65536;
 /// Taken in one turn, so that a talkative peer does not hold up callers.
-constexpr int kDatagramsPerTurn = 64;
+constexpr int kMaxDatagramsPerTurn = 64;
 
 } // namespace
 
@@ -43,7 +43,7 @@
 {
   const int opened =
     socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const sockaddr_in address = SystemAddress(aAddress);
+  const sockaddr_in address = ToSockaddr(aAddress);
   if (opened < 0 || bind(opened,
                          reinterpret_cast<const sockaddr*>(&address),
                          sizeof(address)) != 0) {
@@ -70,7 +70,7 @@
 void
 datagram_socket::Send(std::string_view aBytes, const ip_address& aTo)
 {
-  const sockaddr_in address = SystemAddress(aTo);
+  const sockaddr_in address = ToSockaddr(aTo);
   (void)sendto(mSocket,
                aBytes.data(),
                aBytes.size(),
@@ -83,7 +83,7 @@
 datagram_socket::OnEvents(std::uint32_t)
 {
   static std::array<char, kMostBytes> scratch;
-  for (int i = 0; i < kDatagramsPerTurn; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof(from);
     const ssize_t got = recvfrom(mSocket,
--- a/Libraries/LibNet/EventCursor.cpp
+++ b/Libraries/LibNet/EventCursor.cpp
@@ -12,7 +12,7 @@
 
 /// The number in the event's `id` line.
 std::optional<std::uint64_t>
-IdOf(std::string_view aEvent)
+ParseEventId(std::string_view aEvent)
 {
   std::size_t line = 0;
   while (line < aEvent.size()) {
@@ -46,7 +46,7 @@
 {
   std::string given;
   std::size_t begin = 0;
-  std::size_t from = mScanned > 0 ? mScanned - 1 : 0;
+  std::size_t from = mScannedBytes > 0 ? mScannedBytes - 1 : 0;
   while (true) {
     const std::size_t end = aBytes.find(kEndOfEvent, from);
     if (end == std::string::npos) {
@@ -54,7 +54,7 @@
     }
     const std::size_t next = end + kEndOfEvent.size();
     const std::string_view event(aBytes.data() + begin, next - begin);
-    const std::optional<std::uint64_t> id = IdOf(event);
+    const std::optional<std::uint64_t> id = ParseEventId(event);
     // A source that goes on for another may begin with what was given before:
     // an event must not reach the caller twice.
     if (!id.has_value() || !mLastId.has_value() || *id > *mLastId) {
@@ -68,7 +68,7 @@
     from = next;
   }
   aBytes.erase(0, begin);
-  mScanned = aBytes.size();
+  mScannedBytes = aBytes.size();
   return given;
 }
 
--- a/Libraries/LibNet/EventCursor.h
+++ b/Libraries/LibNet/EventCursor.h
@@ -21,12 +21,12 @@
   /// Events given so far.
   std::uint64_t Count() const { return mCount; }
   /// Begins a new source of bytes that goes on after the last event given.
-  void Resume() { mScanned = 0; }
+  void Resume() { mScannedBytes = 0; }
 
 private:
   std::optional<std::uint64_t> mLastId;
   std::uint64_t mCount = 0;
-  std::size_t mScanned = 0; ///< Bytes known to hold no end of an event.
+  std::size_t mScannedBytes = 0; ///< Bytes known to hold no end of an event.
 };
 
 } // namespace primrose
--- a/Libraries/LibNet/EventLoop.cpp
+++ b/Libraries/LibNet/EventLoop.cpp
@@ -50,7 +50,7 @@
 
 event_loop::~event_loop()
 {
-  mDoomed.clear();
+  mPendingDeletes.clear();
   g_main_context_set_poll_func(nullptr, nullptr);
   g_source_destroy(mSource);
   g_source_unref(mSource);
@@ -72,7 +72,7 @@
 }
 
 void
-event_loop::Change(int aDescriptor, std::uint32_t aEvents)
+event_loop::ChangeEvents(int aDescriptor, std::uint32_t aEvents)
 {
   const auto found = mWatched.find(aDescriptor);
   if (found == mWatched.end()) {
@@ -118,11 +118,11 @@
 void
 event_loop::DeleteLater(std::shared_ptr<void> aObject)
 {
-  mDoomed.push_back(std::move(aObject));
+  mPendingDeletes.push_back(std::move(aObject));
 }
 
 gboolean
-event_loop::Signalled(gpointer aAction)
+event_loop::RunSignalAction(gpointer aAction)
 {
   (*static_cast<std::function<void()>*>(aAction))();
   return G_SOURCE_CONTINUE;
@@ -133,7 +133,8 @@
 {
   mSignals.push_back(
     std::make_unique<std::function<void()>>(std::move(aAction)));
-  g_unix_signal_add(aSignal, &event_loop::Signalled, mSignals.back().get());
+  g_unix_signal_add(
+    aSignal, &event_loop::RunSignalAction, mSignals.back().get());
 }
 
 void
@@ -243,7 +244,7 @@
   event_loop* const loop = reinterpret_cast<loop_source*>(aSource)->mLoop;
   loop->RunReady();
   loop->RunTimers();
-  loop->mDoomed.clear();
+  loop->mPendingDeletes.clear();
   return G_SOURCE_CONTINUE;
 }
 
--- a/Libraries/LibNet/EventLoop.h
+++ b/Libraries/LibNet/EventLoop.h
@@ -36,7 +36,7 @@
   event_loop& operator=(const event_loop&) = delete;
 
   void Watch(int aDescriptor, std::uint32_t aEvents, io_handler& aHandler);
-  void Change(int aDescriptor, std::uint32_t aEvents);
+  void ChangeEvents(int aDescriptor, std::uint32_t aEvents);
   void Forget(int aDescriptor);
 
   /// Calls `aAction` once, `aDelay` from now.
@@ -74,7 +74,7 @@
   static gboolean Prepare(GSource* aSource, gint* aTimeout);
   static gboolean Check(GSource* aSource);
   static gboolean Dispatch(GSource* aSource, GSourceFunc, gpointer);
-  static gboolean Signalled(gpointer aAction);
+  static gboolean RunSignalAction(gpointer aAction);
   gint WaitForReadiness(GPollFD* aPolled, guint aCount, gint aTimeout);
   void RunReady();
   void RunTimers();
@@ -89,7 +89,7 @@
   std::vector<ready> mReady;
   std::map<std::pair<time_point, timer_id>, std::function<void()>> mTimers;
   std::unordered_map<timer_id, time_point> mTimerTimes;
-  std::vector<std::shared_ptr<void>> mDoomed;
+  std::vector<std::shared_ptr<void>> mPendingDeletes;
   std::vector<std::unique_ptr<std::function<void()>>> mSignals;
 };
 
--- a/Libraries/LibNet/FileWatch.cpp
+++ b/Libraries/LibNet/FileWatch.cpp
@@ -8,11 +8,11 @@
                        changed aChanged)
   : mLoop(aLoop)
   , mPath(std::move(aPath))
-  , mEvery(aEvery)
+  , mInterval(aEvery)
   , mChanged(std::move(aChanged))
   , mText(Text())
 {
-  mTimer = mLoop.After(mEvery, [this]() { Look(); });
+  mTimer = mLoop.After(mInterval, [this]() { Look(); });
 }
 
 file_watch::~file_watch()
@@ -32,7 +32,7 @@
 void
 file_watch::Look()
 {
-  mTimer = mLoop.After(mEvery, [this]() { Look(); });
+  mTimer = mLoop.After(mInterval, [this]() { Look(); });
   const std::string text = Text();
   if (text != mText) {
     mText = text;
--- a/Libraries/LibNet/FileWatch.h
+++ b/Libraries/LibNet/FileWatch.h
@@ -30,7 +30,7 @@
 
   event_loop& mLoop;
   std::string mPath;
-  duration mEvery;
+  duration mInterval;
   changed mChanged;
   std::string mText;
   timer_id mTimer = 0;
--- a/Libraries/LibNet/HttpClientCall.cpp
+++ b/Libraries/LibNet/HttpClientCall.cpp
@@ -9,27 +9,29 @@
 /// An answer that has begun may stop for so long: several retransmissions on a
 /// link that loses packets, and a third of the seconds within which a change is
 /// to be in force.
-constexpr duration kLongestStop = std::chrono::seconds(1);
+constexpr duration kReceiveGapTimeout = std::chrono::seconds(1);
 /// And take so long in all, so that a server that sends a byte now and then
 /// does not hold a call for ever: 16 MB, the most that is read, on 10 Mbit/s.
-constexpr duration kLongestArrival = std::chrono::seconds(13);
+constexpr duration kReceiveTimeout = std::chrono::seconds(13);
 
 } // namespace
 
-http_caller::http_caller(event_loop& aLoop, ip_address aServer)
+serial_http_client::serial_http_client(event_loop& aLoop, ip_address aServer)
   : mLoop(aLoop)
   , mServer(std::move(aServer))
   , mReader(http_role::Answer, http_limits{})
 {
 }
 
-http_caller::~http_caller()
+serial_http_client::~serial_http_client()
 {
   mLoop.Cancel(mTimer);
 }
 
 void
-http_caller::Call(const http_call& aCall, duration aTimeout, answered aAnswered)
+serial_http_client::Call(const http_call& aCall,
+                         duration aTimeout,
+                         answered aAnswered)
 {
   std::string bytes = aCall.mMethod + ' ' + aCall.mTarget + " HTTP/1.1\r\n";
   AppendField(bytes, "Host", mServer.Text());
@@ -48,7 +50,7 @@
 }
 
 void
-http_caller::SendNext()
+serial_http_client::SendNext()
 {
   if (mBusy || mWaiting.empty()) {
     return;
@@ -63,11 +65,11 @@
   mReceived = 0;
   mAsked = mLoop.Now();
   mChannel->Write(mWaiting.front().mBytes);
-  ExpectWithin(mWaiting.front().mTimeout);
+  RestartTimeout(mWaiting.front().mTimeout);
 }
 
 void
-http_caller::ExpectWithin(duration aTime)
+serial_http_client::RestartTimeout(duration aTime)
 {
   mLoop.Cancel(mTimer);
   mTimer = mLoop.After(aTime, [this]() {
@@ -78,7 +80,7 @@
 }
 
 void
-http_caller::Abandon()
+serial_http_client::CancelCalls()
 {
   mLoop.Cancel(mTimer);
   DropChannel();
@@ -87,13 +89,13 @@
 }
 
 duration
-http_caller::Asking() const
+serial_http_client::TimeInFlight() const
 {
   return mBusy ? mLoop.Now() - mAsked : duration::zero();
 }
 
 void
-http_caller::DropChannel()
+serial_http_client::DropChannel()
 {
   if (mChannel != nullptr) {
     mChannel->Close();
@@ -103,7 +105,7 @@
 }
 
 void
-http_caller::Settle(const http_answer& aAnswer)
+serial_http_client::Settle(const http_answer& aAnswer)
 {
   mLoop.Cancel(mTimer);
   const answered notify = std::move(mWaiting.front().mAnswered);
@@ -114,19 +116,19 @@
 }
 
 void
-http_caller::OnInput(tcp_channel& aChannel)
+serial_http_client::OnInput(tcp_channel& aChannel)
 {
   if (!mBusy) {
     // Bytes that no call asked for.
     DropChannel();
     return;
   }
-  mFirstByte = mReceived == 0 ? mLoop.Now() : mFirstByte;
+  mFirstByteAt = mReceived == 0 ? mLoop.Now() : mFirstByteAt;
   mReceived += aChannel.Input().size();
   const read_state state = mReader.Read(aChannel.Input());
   if (state == read_state::Head || state == read_state::Body) {
-    const duration left = mFirstByte + kLongestArrival - mLoop.Now();
-    ExpectWithin(std::clamp(left, duration::zero(), kLongestStop));
+    const duration left = mFirstByteAt + kReceiveTimeout - mLoop.Now();
+    RestartTimeout(std::clamp(left, duration::zero(), kReceiveGapTimeout));
     return;
   }
   if (state != read_state::Complete) {
@@ -136,7 +138,7 @@
   }
   const http_answer answer{ mReader.Head().mStatus,
                             std::move(mReader.Body()),
-                            mLoop.Now() - mFirstByte };
+                            mLoop.Now() - mFirstByteAt };
   if (!mReader.Head().mKeepAlive) {
     DropChannel();
   }
@@ -144,7 +146,7 @@
 }
 
 void
-http_caller::OnEnd(tcp_channel&, channel_end)
+serial_http_client::OnEnd(tcp_channel&, channel_end)
 {
   DropChannel();
   if (mBusy) {
--- a/Libraries/LibNet/HttpClientCall.h
+++ b/Libraries/LibNet/HttpClientCall.h
@@ -34,27 +34,27 @@
   bool operator==(const http_answer&) const = default;
 };
 
-class http_caller final : public channel_owner
+class serial_http_client final : public channel_owner
 {
 public:
   using answered = std::function<void(const http_answer&)>;
 
-  http_caller(event_loop& aLoop, ip_address aServer);
-  ~http_caller() override;
-  http_caller(const http_caller&) = delete;
-  http_caller& operator=(const http_caller&) = delete;
+  serial_http_client(event_loop& aLoop, ip_address aServer);
+  ~serial_http_client() override;
+  serial_http_client(const serial_http_client&) = delete;
+  serial_http_client& operator=(const serial_http_client&) = delete;
 
   /// `aAnswered` is called exactly once, never from within `Call`; the answer
   /// has to begin within `aTimeout` of its turn.
   void Call(const http_call& aCall, duration aTimeout, answered aAnswered);
   /// Drops the connection and all calls; none of them is answered any more.
-  void Abandon();
+  void CancelCalls();
   /// True while a call is open.
   bool Busy() const { return mBusy; }
   /// Bytes of the answer to the open call that have come; 0 without a call.
   std::size_t Received() const { return mBusy ? mReceived : 0; }
   /// How long the open call has been out; 0 without a call.
-  duration Asking() const;
+  duration TimeInFlight() const;
 
   void OnInput(tcp_channel& aChannel) override;
   void OnEnd(tcp_channel& aChannel, channel_end aEnd) override;
@@ -70,7 +70,7 @@
   void Settle(const http_answer& aAnswer);
   void DropChannel();
   /// The open call counts as unanswered after so long without another byte.
-  void ExpectWithin(duration aTime);
+  void RestartTimeout(duration aTime);
 
   event_loop& mLoop;
   ip_address mServer;
@@ -80,7 +80,7 @@
   bool mBusy = false;
   std::size_t mReceived = 0;
   time_point mAsked{};
-  time_point mFirstByte{};
+  time_point mFirstByteAt{};
   timer_id mTimer = 0;
 };
 
--- a/Libraries/LibNet/HttpMessage.cpp
+++ b/Libraries/LibNet/HttpMessage.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> kOneConnection = {
+constexpr std::array<std::string_view, 9> kHopByHopFields = {
   "connection", "keep-alive", "transfer-encoding", "content-length", "te",
   "trailer",    "upgrade",    "proxy-connection",  "expect"
 };
@@ -24,7 +24,7 @@
 
 /// True if a comma-separated list names this word.
 bool
-ListNames(std::string_view aList, std::string_view aWord)
+ListContains(std::string_view aList, std::string_view aWord)
 {
   while (!aList.empty()) {
     const std::size_t comma = aList.find(',');
@@ -76,16 +76,16 @@
 }
 
 bool
-ConcernsOneConnection(const http_fields& aFields, std::string_view aName)
+IsHopByHopField(const http_fields& aFields, std::string_view aName)
 {
-  for (const std::string_view name : kOneConnection) {
+  for (const std::string_view name : kHopByHopFields) {
     if (SameFieldName(name, aName)) {
       return true;
     }
   }
   for (const http_field& field : aFields) {
     if (SameFieldName(field.mName, "connection") &&
-        ListNames(field.mValue, aName)) {
+        ListContains(field.mValue, aName)) {
       return true;
     }
   }
--- a/Libraries/LibNet/HttpMessage.h
+++ b/Libraries/LibNet/HttpMessage.h
@@ -46,7 +46,7 @@
 /// True for the fields that concern one connection only and are never
 /// forwarded: those of the standard and those that `Connection` names.
 bool
-ConcernsOneConnection(const http_fields& aFields, std::string_view aName);
+IsHopByHopField(const http_fields& aFields, std::string_view aName);
 
 /// `name: value\r\n` at the end of a head that is being written.
 void
--- a/Libraries/LibNet/HttpReader.cpp
+++ b/Libraries/LibNet/HttpReader.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// What a callback answers so that the parser stops there with an error.
-constexpr int kStop = 1;
+constexpr int kStopParsing = 1;
 /// What the head's callback answers for "there is no body".
 constexpr int kSkipBody = 1;
 constexpr unsigned kFirstFinalStatus = 200;
 
 /// Besides letters and digits, what may stand in a field's name.
-constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
 
 /// True for what may name a field. A name with a blank in it, or one before the
 /// colon, is read differently by different parties.
@@ -25,7 +25,7 @@
            return (aLetter >= 'a' && aLetter <= 'z') ||
                   (aLetter >= 'A' && aLetter <= 'Z') ||
                   (aLetter >= '0' && aLetter <= '9') ||
-                  kMarks.find(aLetter) != std::string_view::npos;
+                  kTokenPunctuation.find(aLetter) != std::string_view::npos;
          });
 }
 
@@ -65,7 +65,7 @@
   mBodyBytes = 0;
   mNoBody = aNoBody;
   mValueSeen = false;
-  mEndsWithConnection = false;
+  mCloseDelimited = false;
   mState = read_state::Head;
 }
 
@@ -122,7 +122,7 @@
 }
 
 bool
-http_reader::HeadIsSound() const
+http_reader::HeadIsUnambiguous() const
 {
   // Two parties that read different lengths out of one head see different
   // requests in the same bytes. Only heads with one reading are taken.
@@ -160,11 +160,11 @@
       http_method_str(static_cast<http_method>(aParser->method));
   }
   reader.mHead.mKeepAlive = http_should_keep_alive(aParser) != 0;
-  if (aParser->upgrade != 0 || !reader.HeadIsSound()) {
+  if (aParser->upgrade != 0 || !reader.HeadIsUnambiguous()) {
     reader.mState = read_state::Malformed;
     return -1;
   }
-  reader.mEndsWithConnection =
+  reader.mCloseDelimited =
     reader.mRole == http_role::Answer && !reader.mNoBody &&
     MayHaveBody(aParser->status_code) &&
     FieldCount(reader.mHead.mFields, "content-length") == 0 &&
@@ -180,7 +180,7 @@
   reader.mBodyBytes += aSize;
   if (reader.mBodyBytes > reader.mLimits.mBodyBytes) {
     reader.mState = read_state::BodyTooBig;
-    return kStop;
+    return kStopParsing;
   }
   reader.mBody.append(aAt, aSize);
   return 0;
--- a/Libraries/LibNet/HttpReader.h
+++ b/Libraries/LibNet/HttpReader.h
@@ -55,7 +55,7 @@
   /// The body's bytes that nobody has taken yet.
   std::string& Body() { return mBody; }
   /// The answer has neither length nor chunks: it ends with its connection.
-  bool EndsWithConnection() const { return mEndsWithConnection; }
+  bool IsCloseDelimited() const { return mCloseDelimited; }
 
 private:
   static int OnUrl(http_parser* aParser, const char* aAt, size_t aSize);
@@ -65,7 +65,7 @@
   static int OnBody(http_parser* aParser, const char* aAt, size_t aSize);
   static int OnEnd(http_parser* aParser);
   static const http_parser_settings& Callbacks();
-  bool HeadIsSound() const;
+  bool HeadIsUnambiguous() const;
 
   http_role mRole;
   http_limits mLimits;
@@ -76,7 +76,7 @@
   std::size_t mBodyBytes = 0;
   bool mNoBody = false;
   bool mValueSeen = false;
-  bool mEndsWithConnection = false;
+  bool mCloseDelimited = false;
   read_state mState = read_state::Head;
 };
 
--- a/Libraries/LibNet/SystemAddress.h
+++ b/Libraries/LibNet/SystemAddress.h
@@ -10,7 +10,7 @@
 namespace primrose {
 
 inline sockaddr_in
-SystemAddress(const ip_address& aAddress)
+ToSockaddr(const ip_address& aAddress)
 {
   sockaddr_in address{};
   address.sin_family = AF_INET;
--- a/Libraries/LibNet/TcpChannel.cpp
+++ b/Libraries/LibNet/TcpChannel.cpp
@@ -39,8 +39,8 @@
   , mConnected(true)
 {
   Prepare(aLimits);
-  mArmed = EPOLLIN | EPOLLRDHUP;
-  mLoop.Watch(mSocket, mArmed, *this);
+  mWatchedEvents = EPOLLIN | EPOLLRDHUP;
+  mLoop.Watch(mSocket, mWatchedEvents, *this);
 }
 
 tcp_channel::tcp_channel(event_loop& aLoop,
@@ -53,13 +53,13 @@
     return;
   }
   Prepare(aLimits);
-  const sockaddr_in address = SystemAddress(aPeer);
+  const sockaddr_in address = ToSockaddr(aPeer);
   (void)connect(
     mSocket, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
   // Success, "in progress" and failure alike are told by readiness, so that
   // the owner never hears of the end inside the constructor.
-  mArmed = EPOLLOUT | EPOLLIN | EPOLLRDHUP;
-  mLoop.Watch(mSocket, mArmed, *this);
+  mWatchedEvents = EPOLLOUT | EPOLLIN | EPOLLRDHUP;
+  mLoop.Watch(mSocket, mWatchedEvents, *this);
 }
 
 tcp_channel::~tcp_channel()
@@ -71,11 +71,11 @@
 tcp_channel::Prepare(const channel_limits& aLimits)
 {
   SetOption(mSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  if (aLimits.mUnacknowledged > duration::zero()) {
+  if (aLimits.mAckTimeout > duration::zero()) {
     SetOption(mSocket,
               IPPROTO_TCP,
               TCP_USER_TIMEOUT,
-              static_cast<int>(Milliseconds(aLimits.mUnacknowledged)));
+              static_cast<int>(Milliseconds(aLimits.mAckTimeout)));
   }
   if (aLimits.mProbeAfter > duration::zero()) {
     // A connection through a partition or to a machine without power stays
@@ -90,7 +90,7 @@
 }
 
 void
-tcp_channel::Arm()
+tcp_channel::UpdateWatchedEvents()
 {
   std::uint32_t events = EPOLLRDHUP;
   if (!mPaused) {
@@ -99,9 +99,9 @@
   if (mWantWrite || !mConnected) {
     events |= EPOLLOUT;
   }
-  if (events != mArmed && mSocket >= 0) {
-    mArmed = events;
-    mLoop.Change(mSocket, events);
+  if (events != mWatchedEvents && mSocket >= 0) {
+    mWatchedEvents = events;
+    mLoop.ChangeEvents(mSocket, events);
   }
 }
 
@@ -125,14 +125,14 @@
   // channel without re-entering the writer.
   mOutput.append(aBytes);
   mWantWrite = true;
-  Arm();
+  UpdateWatchedEvents();
 }
 
 void
 tcp_channel::PauseReading(bool aPaused)
 {
   mPaused = aPaused;
-  Arm();
+  UpdateWatchedEvents();
 }
 
 void
@@ -200,7 +200,7 @@
       mOwner->OnConnected(*this);
     }
     if (mSocket >= 0) {
-      Arm();
+      UpdateWatchedEvents();
     }
     return;
   }
@@ -259,7 +259,7 @@
     Close();
     return;
   }
-  Arm();
+  UpdateWatchedEvents();
   if (mOwner != nullptr) {
     mOwner->OnDrained(*this);
   }
@@ -291,7 +291,7 @@
                 std::string("no socket: ") + std::strerror(errno));
   }
   SetOption(listening, SOL_SOCKET, SO_REUSEADDR, 1);
-  const sockaddr_in address = SystemAddress(aAddress);
+  const sockaddr_in address = ToSockaddr(aAddress);
   if (bind(listening,
            reinterpret_cast<const sockaddr*>(&address),
            sizeof(address)) != 0 ||
--- a/Libraries/LibNet/TcpChannel.h
+++ b/Libraries/LibNet/TcpChannel.h
@@ -34,7 +34,7 @@
 /// idle connection without an answer to a probe, before it counts as broken.
 struct channel_limits
 {
-  duration mUnacknowledged{};
+  duration mAckTimeout{};
   duration mProbeAfter{};
 
   bool operator==(const channel_limits&) const = default;
@@ -73,7 +73,7 @@
 
 private:
   void Prepare(const channel_limits& aLimits);
-  void Arm();
+  void UpdateWatchedEvents();
   void Read();
   void Flush();
   void End(channel_end aEnd);
@@ -85,7 +85,7 @@
   bool mPaused = false;
   bool mWantWrite = false;
   bool mCloseWhenDrained = false;
-  std::uint32_t mArmed = 0;
+  std::uint32_t mWatchedEvents = 0;
   std::string mInput;
   std::string mOutput;
   std::size_t mSent = 0;
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration kConnectLimit = std::chrono::milliseconds(1000);
+constexpr duration kAgentConnectTimeout = std::chrono::milliseconds(1000);
 
 /// The largest message taken from a peer: a prompt of a million tokens is
 /// about 4 MB; more than this is refused before memory is spent on it.
@@ -74,7 +74,7 @@
   mConnections.add(ended.attach(kj::mv(connection)));
 }
 
-struct agent_link::open_connection
+struct agent_connection::open_connection
 {
   kj::Own<kj::AsyncIoStream> mStream;
   capnp::TwoPartyVatNetwork mNetwork;
@@ -98,21 +98,21 @@
   }
 };
 
-agent_link::agent_link(ip_address aAddress,
-                       std::string aKey,
-                       std::string aCaller)
+agent_connection::agent_connection(ip_address aAddress,
+                                   std::string aKey,
+                                   std::string aCaller)
   : mAddress(std::move(aAddress))
   , mKey(std::move(aKey))
   , mCaller(std::move(aCaller))
 {
 }
 
-agent_link::~agent_link() = default;
+agent_connection::~agent_connection() = default;
 
 kj::Promise<wire::Agent::Client>
-agent_link::Open()
+agent_connection::Open()
 {
-  return WithTimeout(Connect(mAddress), kConnectLimit)
+  return WithTimeout(Connect(mAddress), kAgentConnectTimeout)
     .then([this](kj::Own<kj::AsyncIoStream> aStream) {
       mConnection = std::make_shared<open_connection>(kj::mv(aStream));
       auto request = mConnection->Gate().openRequest();
@@ -122,7 +122,7 @@
       mConnection->mWatch = mConnection->mNetwork.onDisconnect()
                               .then([this, watched]() {
                                 if (watched.lock() == mConnection) {
-                                  mStale = true;
+                                  mNeedsReconnect = true;
                                 }
                               })
                               .eagerlyEvaluate(nullptr);
@@ -134,20 +134,20 @@
 }
 
 kj::Promise<wire::Agent::Client>
-agent_link::Get()
+agent_connection::Get()
 {
   KJ_IF_MAYBE (opening, mOpening) {
-    if (!mStale) {
+    if (!mNeedsReconnect) {
       return opening->addBranch();
     }
   }
-  mStale = false;
+  mNeedsReconnect = false;
   kj::ForkedPromise<wire::Agent::Client> opening =
     Open()
       .catch_(
         [this](kj::Exception&& aException) -> kj::Promise<wire::Agent::Client> {
           // Only marked: the fork must not be destroyed by its own callback.
-          mStale = true;
+          mNeedsReconnect = true;
           return kj::mv(aException);
         })
       .fork();
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -39,13 +39,13 @@
 
 /// A connection to one agent. It connects at first use and again after the
 /// connection broke.
-class agent_link
+class agent_connection
 {
 public:
-  agent_link(ip_address aAddress, std::string aKey, std::string aCaller);
-  ~agent_link();
-  agent_link(const agent_link&) = delete;
-  agent_link& operator=(const agent_link&) = delete;
+  agent_connection(ip_address aAddress, std::string aKey, std::string aCaller);
+  ~agent_connection();
+  agent_connection(const agent_connection&) = delete;
+  agent_connection& operator=(const agent_connection&) = delete;
 
   /// The agent; fails with DISCONNECTED if it cannot be reached.
   kj::Promise<wire::Agent::Client> Get();
@@ -61,7 +61,7 @@
   kj::Maybe<kj::ForkedPromise<wire::Agent::Client>> mOpening;
   std::shared_ptr<open_connection> mConnection;
   /// The connection broke or could not be made; the next use makes a new one.
-  bool mStale = false;
+  bool mNeedsReconnect = false;
 };
 
 } // namespace primrose
--- a/Libraries/LibWire/Convert.cpp
+++ b/Libraries/LibWire/Convert.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t kMostTokens = 1000000000;
-constexpr unsigned kMostMarks = 32;
+constexpr unsigned kMaxWirePrefixHashes = 32;
 constexpr unsigned kLowestPriority = 3;
 constexpr std::uint64_t kDayInMilliseconds = 86400000;
 constexpr double kMillisecondsPerSecond = 1000;
@@ -40,7 +40,8 @@
   shape.mMaxTokens = std::min(aQuery.getMaxTokens(), kMostTokens);
   shape.mPriority = std::min<unsigned>(aQuery.getPriority(), kLowestPriority);
   shape.mLong = aQuery.getIsLong();
-  const unsigned count = std::min(aQuery.getMarks().size(), kMostMarks);
+  const unsigned count =
+    std::min(aQuery.getMarks().size(), kMaxWirePrefixHashes);
   for (unsigned i = 0; i < count; ++i) {
     shape.mPrefixHashes.push_back(aQuery.getMarks()[i]);
   }
--- a/Libraries/LibWire/GlibEventPort.cpp
+++ b/Libraries/LibWire/GlibEventPort.cpp
@@ -6,7 +6,7 @@
 
 /// Turns of the KJ loop before GLib's other sources get their chance; without
 /// a bound a busy RPC connection would starve timers, which end requests.
-constexpr unsigned kTurnsAtOnce = 64;
+constexpr unsigned kMaxTurnsPerDispatch = 64;
 
 } // namespace
 
@@ -58,7 +58,7 @@
 {
   glib_event_port* const self = static_cast<glib_event_port*>(aSelf);
   GSource* const source = self->mSource;
-  self->mLoop.run(kTurnsAtOnce);
+  self->mLoop.run(kMaxTurnsPerDispatch);
   // The run may have removed this source and even installed a new one.
   return self->mSource == source ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
--- a/Libraries/LibWire/GlibStream.cpp
+++ b/Libraries/LibWire/GlibStream.cpp
@@ -116,9 +116,9 @@
     }
     // One gathered send for the usual small message: a send for each segment
     // would put a segment table and its message into two packets.
-    constexpr size_t kMostPieces = 16;
-    const size_t count = std::min(aPieces.size(), kMostPieces);
-    iovec vectors[kMostPieces];
+    constexpr size_t kMaxPieces = 16;
+    const size_t count = std::min(aPieces.size(), kMaxPieces);
+    iovec vectors[kMaxPieces];
     for (size_t i = 0; i < count; ++i) {
       vectors[i].iov_base = const_cast<kj::byte*>(aPieces[i].begin());
       vectors[i].iov_len = aPieces[i].size();
@@ -207,7 +207,7 @@
 }
 
 void
-SendAtOnce(int aDescriptor)
+DisableNagle(int aDescriptor)
 {
   const int on = 1;
   setsockopt(aDescriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -216,7 +216,7 @@
 } // namespace
 
 stream_traffic
-TrafficSoFar()
+TotalTraffic()
 {
   return gTraffic;
 }
@@ -224,7 +224,7 @@
 kj::Own<kj::AsyncIoStream>
 WrapSocket(int aDescriptor)
 {
-  SendAtOnce(aDescriptor);
+  DisableNagle(aDescriptor);
   return kj::heap<glib_stream>(aDescriptor);
 }
 
--- a/Libraries/LibWire/GlibStream.h
+++ b/Libraries/LibWire/GlibStream.h
@@ -22,7 +22,7 @@
 };
 
 stream_traffic
-TrafficSoFar();
+TotalTraffic();
 
 /// Takes ownership of a connected, non-blocking socket.
 kj::Own<kj::AsyncIoStream>
--- a/Services/Agent/AgentService.cpp
+++ b/Services/Agent/AgentService.cpp
@@ -431,7 +431,7 @@
 std::string
 agent_service::Metrics()
 {
-  const stream_traffic traffic = TrafficSoFar();
+  const stream_traffic traffic = TotalTraffic();
   mMetrics.Set("primrose_rpc_sent_bytes", static_cast<double>(traffic.mSent));
   mMetrics.Set("primrose_rpc_received_bytes",
                static_cast<double>(traffic.mReceived));
--- a/Services/Entry/AgentPool.cpp
+++ b/Services/Entry/AgentPool.cpp
@@ -73,7 +73,7 @@
   }
 }
 
-std::shared_ptr<agent_link>
+std::shared_ptr<agent_connection>
 agent_pool::ConnectionTo(const std::string& aEndpoint)
 {
   const auto known = mAgentConnections.find(aEndpoint);
@@ -89,8 +89,9 @@
   if (!address) {
     return nullptr;
   }
-  std::shared_ptr<agent_link> connection = std::make_shared<agent_link>(
-    *address.mValue, mBoard.mSettings.mRpcKey, mBoard.mSettings.mName);
+  std::shared_ptr<agent_connection> connection =
+    std::make_shared<agent_connection>(
+      *address.mValue, mBoard.mSettings.mRpcKey, mBoard.mSettings.mName);
   mAgentConnections.emplace(aEndpoint, connection);
   return connection;
 }
--- a/Services/Entry/AgentPool.h
+++ b/Services/Entry/AgentPool.h
@@ -21,7 +21,7 @@
   /// The connection to an endpoint's agent, or null if the endpoint is not
   /// listed or its address is invalid. Shared, because a request may outlive
   /// the endpoint's row in the list.
-  std::shared_ptr<agent_link> ConnectionTo(const std::string& aEndpoint);
+  std::shared_ptr<agent_connection> ConnectionTo(const std::string& aEndpoint);
 
 private:
   kj::Promise<void> PollEndpointList();
@@ -31,7 +31,7 @@
   const clock_source& mClock;
   entry_state& mBoard;
   table_client& mStore;
-  std::map<std::string, std::shared_ptr<agent_link>> mAgentConnections;
+  std::map<std::string, std::shared_ptr<agent_connection>> mAgentConnections;
   task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
--- a/Services/Entry/CallRun.cpp
+++ b/Services/Entry/CallRun.cpp
@@ -81,7 +81,7 @@
 {
   ++mAttempts;
   const std::string endpoint = ChooseEndpoint();
-  const std::shared_ptr<agent_link> connection =
+  const std::shared_ptr<agent_connection> connection =
     endpoint.empty() ? nullptr : mPool.ConnectionTo(endpoint);
   if (connection == nullptr) {
     mTried.clear();
--- a/Services/Entry/CompletionRun.cpp
+++ b/Services/Entry/CompletionRun.cpp
@@ -352,7 +352,7 @@
 kj::Promise<void>
 completion_run::WaitForCallerToRead()
 {
-  if (mFinished || mExchange->Backlog() <= kMaxUnsentBytes) {
+  if (mFinished || mExchange->UnsentBytes() <= kMaxUnsentBytes) {
     return kj::READY_NOW;
   }
   return Delay(kUnsentBytesPollInterval).then([this]() {
--- a/Services/Entry/EntryService.cpp
+++ b/Services/Entry/EntryService.cpp
@@ -192,7 +192,7 @@
     return;
   }
   if (path == "/metrics") {
-    const stream_traffic traffic = TrafficSoFar();
+    const stream_traffic traffic = TotalTraffic();
     mBoard.mMetrics.Set("primrose_rpc_sent_bytes",
                         static_cast<double>(traffic.mSent));
     mBoard.mMetrics.Set("primrose_rpc_received_bytes",
--- a/Services/Entry/Placer.cpp
+++ b/Services/Entry/Placer.cpp
@@ -100,7 +100,7 @@
 placer::ProbeAgent(std::shared_ptr<search> aSearch, std::size_t aIndex)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> connection = mPool.ConnectionTo(name);
+  const std::shared_ptr<agent_connection> connection = mPool.ConnectionTo(name);
   if (connection == nullptr) {
     return std::optional<candidate>();
   }
@@ -258,7 +258,7 @@
                      hold_role aRole)
 {
   const std::string name = aSearch->mNames[aIndex];
-  const std::shared_ptr<agent_link> connection = mPool.ConnectionTo(name);
+  const std::shared_ptr<agent_connection> connection = mPool.ConnectionTo(name);
   if (connection == nullptr) {
     return kj::READY_NOW;
   }
--- a/Services/Entry/Placer.h
+++ b/Services/Entry/Placer.h
@@ -20,7 +20,7 @@
   std::string mAttempt;
   wire::Ticket::Client mTicket;
   /// Keeps the connection open for as long as the reservation is used.
-  std::shared_ptr<agent_link> mConnection;
+  std::shared_ptr<agent_connection> mConnection;
 };
 
 /// The result of one placement attempt: a single reservation, or those of a
--- a/Tests/Unit/HttpReaderTest.cpp
+++ b/Tests/Unit/HttpReaderTest.cpp
@@ -123,7 +123,7 @@
     http_reader reader(http_role::Answer, http_limits{});
     CPPUNIT_ASSERT(ReadOne(reader, "HTTP/1.1 200 OK\r\n\r\nabc") ==
                    read_state::Body);
-    CPPUNIT_ASSERT(reader.EndsWithConnection());
+    CPPUNIT_ASSERT(reader.IsCloseDelimited());
     CPPUNIT_ASSERT(reader.Finish() == read_state::Complete);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), reader.Body());
   }
--- a/Utilities/Bench/Costs.cpp
+++ b/Utilities/Bench/Costs.cpp
@@ -376,7 +376,7 @@
 }
 
 kj::Promise<probe_answer>
-ProbeOver(agent_link& aLink)
+ProbeOver(agent_connection& aLink)
 {
   return aLink.Get().then([](wire::Agent::Client aAgent) {
     auto request = aAgent.probeRequest();
@@ -400,9 +400,9 @@
         return rpc_server::Open({ "127.0.0.1", 0 }, kj::heap<stub_gate>());
       });
     const double before = HeapBytes();
-    std::vector<std::unique_ptr<agent_link>> links;
+    std::vector<std::unique_ptr<agent_connection>> links;
     for (std::int64_t i = 0; i < aState.range(0); ++i) {
-      links.push_back(std::make_unique<agent_link>(
+      links.push_back(std::make_unique<agent_connection>(
         (*server.mValue)->Address(), "key", "caller"));
       ProbeOver(*links.back()).wait(loop.Scope());
     }
@@ -420,13 +420,13 @@
     Capture<std::unique_ptr<rpc_server>>([]() {
       return rpc_server::Open({ "127.0.0.1", 0 }, kj::heap<stub_gate>());
     });
-  agent_link link((*server.mValue)->Address(), "key", "caller");
+  agent_connection link((*server.mValue)->Address(), "key", "caller");
   ProbeOver(link).wait(loop.Scope());
-  const stream_traffic before = TrafficSoFar();
+  const stream_traffic before = TotalTraffic();
   for (auto _ : aState) {
     benchmark::DoNotOptimize(ProbeOver(link).wait(loop.Scope()));
   }
-  const double sent = static_cast<double>(TrafficSoFar().mSent - before.mSent);
+  const double sent = static_cast<double>(TotalTraffic().mSent - before.mSent);
   aState.counters["bytes_each"] =
     sent / static_cast<double>(aState.iterations());
 }
