--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -1,7 +1,7 @@
 /// primrose-soak: real gateways under faults from outside, with every promise
 /// checked from what callers and endpoints saw.
 
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include "LibDaemon/CommandLine.h"
 #include "LibObserve/LibObserve.h"
--- a/Tests/Soak/SoakWorld.cpp
+++ b/Tests/Soak/SoakEnvironment.cpp
@@ -1,4 +1,4 @@
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include "LibObserve/LibObserve.h"
 
