--- a/Tests/Gateway/CrashTest.cpp
+++ b/Tests/Gateway/CrashTest.cpp
@@ -348,7 +348,7 @@
     two_entries entries("unsafe", 3);
     entries.mPool.mOnCrashing =
       [&entries](endpoint_fixture&, connection&, const http_head&) {
-        entries.mCallers.back()->Leave();
+        entries.mCallers.back()->CloseConnection();
       };
     (void)entries.Ask(kCrashing);
     entries.mWorld.Until([&entries]() { return entries.mPool.mSends == 1; },
@@ -397,7 +397,7 @@
     entries.mPool.mOnCrashing = [&entries](endpoint_fixture& aEndpoint,
                                            connection& aConnection,
                                            const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       const std::size_t event = entries.mPool.mSends;
       AppendChunk(bytes, "id: " + std::to_string(event) + "\ndata: x\n\n");
       if (entries.mPool.mEnds == kEndsThatTell) {
--- a/Tests/Gateway/Fixtures.h
+++ b/Tests/Gateway/Fixtures.h
@@ -44,7 +44,8 @@
 inline void
 AnswerOk(connection& aConnection, const http_head& aHead)
 {
-  aConnection.mChannel->Write(GoodHead(aHead, "Content-Length: 2\r\n") + "ok");
+  aConnection.mChannel->Write(SuccessHead(aHead, "Content-Length: 2\r\n") +
+                              "ok");
   aConnection.Next();
 }
 
@@ -53,7 +54,7 @@
 AnswerLimited(connection& aConnection, const http_head& aHead)
 {
   aConnection.mChannel->Write(
-    GoodHead(aHead, "Server-Limit: 1\r\nContent-Length: 2\r\n") + "ok");
+    SuccessHead(aHead, "Server-Limit: 1\r\nContent-Length: 2\r\n") + "ok");
   aConnection.Next();
 }
 
@@ -67,7 +68,7 @@
   aConnection.Next();
 }
 
-struct world : gateway_world
+struct world : gateway_fixture
 {
   world()
     : mDeskEndpoint(mLoop)
--- a/Tests/Gateway/ForwardingTest.cpp
+++ b/Tests/Gateway/ForwardingTest.cpp
@@ -83,7 +83,7 @@
   void NothingIsServedBeforeAManifest()
   {
     world w;
-    w.mStore.SetMood(standin_store::mood::Refusing);
+    w.mStore.SetResponseMode(standin_store::response_mode::Refusing);
     w.mGateway =
       std::make_unique<gateway>(w.mLoop, w.mSettings, platform::Adapter());
     CPPUNIT_ASSERT(Capture<int>([&w]() -> result<int> {
@@ -97,7 +97,7 @@
     probe.Send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     w.Until([&probe]() { return probe.Answered(); }, "a probe");
     CPPUNIT_ASSERT_EQUAL(503U, probe.Status());
-    w.mStore.SetMood(standin_store::mood::Good);
+    w.mStore.SetResponseMode(standin_store::response_mode::Good);
     // The two tables are read independently of each other.
     w.Until(
       [&w]() {
@@ -134,7 +134,7 @@
     w.mDeskEndpoint.mAnswer = [&held](connection& aConnection,
                                       const http_head& aHead) {
       held.emplace_back(&aConnection,
-                        GoodHead(aHead, "Content-Length: 2\r\n") + "ok");
+                        SuccessHead(aHead, "Content-Length: 2\r\n") + "ok");
     };
     w.Start();
     w.Until([&w]() { return w.mGateway->Board().mListedGatewayCount == 25; },
@@ -242,7 +242,8 @@
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
                                  const http_head& aHead) {
-      const std::string one = GoodHead(aHead, "Content-Length: 2\r\n") + "ok";
+      const std::string one =
+        SuccessHead(aHead, "Content-Length: 2\r\n") + "ok";
       aConnection.mChannel->Write(one + one);
       aConnection.Next();
     };
@@ -268,7 +269,7 @@
     w.Start();
     const standin_caller& caller = w.Answered(w.Request("r1", "unsafe"));
     CPPUNIT_ASSERT_EQUAL(502U, caller.Status());
-    CPPUNIT_ASSERT(caller.Seen().find("secret") == std::string::npos);
+    CPPUNIT_ASSERT(caller.ReceivedBytes().find("secret") == std::string::npos);
   }
 
   void UnprovenAnswerIsNoSuccess()
@@ -290,7 +291,7 @@
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
                                  const http_head& aHead) {
-      aConnection.mChannel->Write(GoodHead(aHead, "Content-Length: 9\r\n") +
+      aConnection.mChannel->Write(SuccessHead(aHead, "Content-Length: 9\r\n") +
                                   "half");
       aConnection.mChannel->CloseWhenDrained();
     };
@@ -303,7 +304,7 @@
     world w;
     w.mDeskEndpoint.mAnswer = [](connection& aConnection,
                                  const http_head& aHead) {
-      aConnection.mChannel->Write(GoodHead(aHead, "") + "to the end");
+      aConnection.mChannel->Write(SuccessHead(aHead, "") + "to the end");
       aConnection.mChannel->CloseWhenDrained();
     };
     w.Start();
@@ -335,11 +336,12 @@
       w.Ask(w.Request("r1", "safe") + w.Request("r2", "safe"));
     w.Until(
       [&caller]() {
-        return caller.Seen().find("Request-Id: r2") != std::string::npos;
+        return caller.ReceivedBytes().find("Request-Id: r2") !=
+               std::string::npos;
       },
       "both answers");
-    CPPUNIT_ASSERT(caller.Seen().find("Request-Id: r1") <
-                   caller.Seen().find("Request-Id: r2"));
+    CPPUNIT_ASSERT(caller.ReceivedBytes().find("Request-Id: r1") <
+                   caller.ReceivedBytes().find("Request-Id: r2"));
   }
 
   /// Symptom: a rights holder is billed twice.
@@ -473,7 +475,7 @@
     standin_caller& caller = w.Ask(w.Request("r1", "safe"));
     w.Until([&w]() { return w.mDeskEndpoint.mHeads.size() == 1; },
             "it is sent");
-    caller.Leave();
+    caller.CloseConnection();
     w.Until([&w]() { return w.mDeskEndpoint.mServer.Ended() == 1; },
             "the endpoint's connection is closed");
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), w.mGateway->Board().mOpenRequests);
@@ -541,10 +543,10 @@
       world w;
       w.mDeskEndpoint.mAnswer = [text](connection& aConnection,
                                        const http_head& aHead) {
-        aConnection.mChannel->Write(GoodHead(aHead,
-                                             std::string("Server-Limit: ") +
-                                               text +
-                                               "\r\nContent-Length: 2\r\n") +
+        aConnection.mChannel->Write(SuccessHead(aHead,
+                                                std::string("Server-Limit: ") +
+                                                  text +
+                                                  "\r\nContent-Length: 2\r\n") +
                                     "ok");
         aConnection.Next();
       };
@@ -600,7 +602,7 @@
     w.List("i-model", "model", w.mModel.mServer.Address());
     const auto slowly = [&w](connection& aConnection, const http_head& aHead) {
       const std::string answer =
-        GoodHead(aHead, "Content-Length: 2\r\n") + "ok";
+        SuccessHead(aHead, "Content-Length: 2\r\n") + "ok";
       (void)w.mLoop.After(milliseconds(100), [&aConnection, answer]() {
         aConnection.mChannel->Write(answer);
         aConnection.Next();
@@ -609,7 +611,7 @@
     w.mDeskEndpoint.mAnswer = slowly;
     w.mSecond.mAnswer = slowly;
     w.mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, "id: 1\ndata: x\n\n");
       bytes.append(kLastChunk);
       aConnection.mChannel->Write(bytes);
--- a/Tests/Gateway/Standin.cpp
+++ b/Tests/Gateway/Standin.cpp
@@ -137,11 +137,12 @@
                     row aRow)
 {
   // Older changes are asked for by nobody but an entry that was away for long.
-  constexpr std::size_t kMostChanges = 4096;
+  constexpr std::size_t kMaxHistoryLength = 4096;
   mRows[{ aTable, aKey }] = aRow;
   mHistory.push_back({ aTable, aKey, std::move(aRow) });
-  if (mHistory.size() > kMostChanges) {
-    mOldest = std::max(mOldest, mHistory.front().mRow.mRevision);
+  if (mHistory.size() > kMaxHistoryLength) {
+    mOldestKnownRevision =
+      std::max(mOldestKnownRevision, mHistory.front().mRow.mRevision);
     mHistory.pop_front();
   }
 }
@@ -165,7 +166,7 @@
 void
 standin_store::LoseHistory()
 {
-  mOldest = ++mRevision;
+  mOldestKnownRevision = ++mRevision;
   mHistory.clear();
   std::vector<poll> waiting;
   waiting.swap(mPolls);
@@ -175,14 +176,14 @@
 }
 
 void
-standin_store::FallSilent()
+standin_store::StopAnswering()
 {
-  mMood = mood::Silent;
+  mResponseMode = response_mode::Silent;
   mPolls.clear();
 }
 
 void
-standin_store::SetPace(std::size_t aSliceBytes, duration aEvery)
+standin_store::ThrottleAnswers(std::size_t aSliceBytes, duration aEvery)
 {
   mSliceBytes = aSliceBytes;
   mSliceEvery = aEvery;
@@ -196,17 +197,17 @@
 }
 
 std::size_t
-standin_store::Questions(const std::string& aTable) const
+standin_store::RequestsForTable(const std::string& aTable) const
 {
-  const auto found = mQuestions.find(aTable);
-  return found == mQuestions.end() ? 0 : found->second;
+  const auto found = mRequestsByTable.find(aTable);
+  return found == mRequestsByTable.end() ? 0 : found->second;
 }
 
 std::size_t
-standin_store::Handed(const std::string& aTable) const
+standin_store::RowsSentFromTable(const std::string& aTable) const
 {
-  const auto found = mHanded.find(aTable);
-  return found == mHanded.end() ? 0 : found->second;
+  const auto found = mRowsSentByTable.find(aTable);
+  return found == mRowsSentByTable.end() ? 0 : found->second;
 }
 
 namespace {
@@ -251,14 +252,14 @@
     if (name.first != aTable || held.mGone || name.second < aFrom) {
       continue;
     }
-    truncated = rows.size() == mPage;
+    truncated = rows.size() == mPageSize;
     if (truncated) {
       break;
     }
     rows.push_back(
       RowText(aTable, name.second, held.mValue, held.mRevision, false));
   }
-  mHanded[aTable] += rows.size();
+  mRowsSentByTable[aTable] += rows.size();
   return AnswerText(rows, mRevision, truncated);
 }
 
@@ -284,7 +285,7 @@
   if (rows.empty()) {
     return "";
   }
-  mHanded[aTable] += rows.size();
+  mRowsSentByTable[aTable] += rows.size();
   return AnswerText(rows, revision, false);
 }
 
@@ -314,7 +315,7 @@
     aConnection.Next();
     return;
   }
-  mSlow.push_back({ Shared(aConnection), text });
+  mThrottledAnswers.push_back({ Shared(aConnection), text });
   if (!mSending) {
     mSending = true;
     SendSlices();
@@ -324,9 +325,9 @@
 void
 standin_store::SendSlices()
 {
-  for (slow_answer& one : mSlow) {
+  for (throttled_answer& one : mThrottledAnswers) {
     if (one.mConnection->mEnded) {
-      ++mCutShort;
+      ++mAbortedAnswers;
       one.mRest.clear();
       continue;
     }
@@ -337,9 +338,10 @@
       one.mConnection->Next();
     }
   }
-  std::erase_if(mSlow,
-                [](const slow_answer& aOne) { return aOne.mRest.empty(); });
-  mSending = !mSlow.empty();
+  std::erase_if(mThrottledAnswers, [](const throttled_answer& aOne) {
+    return aOne.mRest.empty();
+  });
+  mSending = !mThrottledAnswers.empty();
   if (mSending) {
     (void)mLoop.After(mSliceEvery, [this]() { SendSlices(); });
   }
@@ -353,11 +355,11 @@
   ++mCalls;
   const std::string path = aHead.mTarget.substr(0, aHead.mTarget.find('?'));
   const std::string table = Parameter(aHead.mTarget, "table");
-  ++mQuestions[table];
-  if (mMood == mood::Silent) {
+  ++mRequestsByTable[table];
+  if (mResponseMode == response_mode::Silent) {
     return;
   }
-  if (mMood == mood::Refusing) {
+  if (mResponseMode == response_mode::Refusing) {
     Answer(aConnection, 503, "{}");
     return;
   }
@@ -374,7 +376,7 @@
     return;
   }
   const std::uint64_t after = std::stoull(Parameter(aHead.mTarget, "after"));
-  if (after < mOldest) {
+  if (after < mOldestKnownRevision) {
     Answer(aConnection, 410, "{}");
     return;
   }
@@ -406,7 +408,7 @@
 void
 standin_store::AnswerPolls()
 {
-  if (mMood != mood::Good) {
+  if (mResponseMode != response_mode::Good) {
     return;
   }
   std::vector<poll> waiting;
@@ -460,25 +462,25 @@
 bool
 standin_caller::Answered() const
 {
-  return Parse(Seen(), mEnded).mState == read_state::Complete;
+  return Parse(ReceivedBytes(), mEnded).mState == read_state::Complete;
 }
 
 unsigned
 standin_caller::Status() const
 {
-  return Parse(Seen(), mEnded).mHead.mStatus;
+  return Parse(ReceivedBytes(), mEnded).mHead.mStatus;
 }
 
 std::string
 standin_caller::Body() const
 {
-  return Parse(Seen(), mEnded).mBody;
+  return Parse(ReceivedBytes(), mEnded).mBody;
 }
 
 std::optional<std::string>
 standin_caller::Field(std::string_view aName) const
 {
-  const parsed answer = Parse(Seen(), mEnded);
+  const parsed answer = Parse(ReceivedBytes(), mEnded);
   const std::optional<std::string_view> value =
     FieldValue(answer.mHead.mFields, aName);
   if (!value.has_value()) {
@@ -487,7 +489,7 @@
   return std::string(*value);
 }
 
-gateway_world::gateway_world()
+gateway_fixture::gateway_fixture()
   : mStore(mLoop)
 {
   mSettings.mName = "entry-1";
@@ -502,8 +504,8 @@
 }
 
 void
-gateway_world::Until(const std::function<bool()>& aCondition,
-                     const std::string& aWhat)
+gateway_fixture::Until(const std::function<bool()>& aCondition,
+                       const std::string& aWhat)
 {
   constexpr duration kGenerous = std::chrono::seconds(60);
   const time_point end = mLoop.Now() + kGenerous;
@@ -516,17 +518,17 @@
 }
 
 void
-gateway_world::For(duration aTime)
+gateway_fixture::For(duration aTime)
 {
   const time_point end = mLoop.Now() + aTime;
   Until([this, end]() { return mLoop.Now() >= end; }, "time passes");
 }
 
 void
-gateway_world::List(const std::string& aId,
-                    const std::string& aService,
-                    const ip_address& aAddress,
-                    const std::string& aState)
+gateway_fixture::List(const std::string& aId,
+                      const std::string& aService,
+                      const ip_address& aAddress,
+                      const std::string& aState)
 {
   ListEndpoint(mStore, aId, aService, aAddress, aState);
 }
@@ -546,9 +548,9 @@
 }
 
 void
-gateway_world::PutManifest(std::uint64_t aVersion,
-                           const std::string& aExtra,
-                           std::size_t aMoreRoutes)
+gateway_fixture::PutManifest(std::uint64_t aVersion,
+                             const std::string& aExtra,
+                             std::size_t aMoreRoutes)
 {
   WriteManifest(mStore, aVersion, aExtra, aMoreRoutes);
 }
@@ -631,7 +633,7 @@
 }
 
 std::uint16_t
-gateway_world::FreePort()
+gateway_fixture::FreePort()
 {
   return test::FreePort(mLoop);
 }
@@ -669,7 +671,7 @@
 }
 
 void
-gateway_world::Start()
+gateway_fixture::Start()
 {
   mGateway = std::make_unique<gateway>(mLoop, mSettings, platform::Adapter());
   CPPUNIT_ASSERT(Capture<int>([this]() -> result<int> {
@@ -686,10 +688,10 @@
 }
 
 std::string
-gateway_world::Request(const std::string& aId,
-                       const std::string& aKind,
-                       const std::string& aFields,
-                       const std::string& aBody) const
+gateway_fixture::Request(const std::string& aId,
+                         const std::string& aKind,
+                         const std::string& aFields,
+                         const std::string& aBody) const
 {
   return RequestText(aId, aKind, aFields, aBody);
 }
@@ -707,7 +709,7 @@
 }
 
 std::string
-GoodHead(const http_head& aRequest, const std::string& aFraming)
+SuccessHead(const http_head& aRequest, const std::string& aFraming)
 {
   return "HTTP/1.1 200 OK\r\nRequest-Id: " +
          std::string(*FieldValue(aRequest.mFields, "request-id")) +
--- a/Tests/Gateway/Standin.h
+++ b/Tests/Gateway/Standin.h
@@ -54,7 +54,7 @@
 class standin_store
 {
 public:
-  enum class mood : std::uint8_t
+  enum class response_mode : std::uint8_t
   {
     Good,
     Refusing,
@@ -68,21 +68,21 @@
   void Remove(const std::string& aTable, const std::string& aKey);
   /// Forgets which rows changed: the next question about changes fails.
   void LoseHistory();
-  void SetMood(mood aMood) { mMood = aMood; }
+  void SetResponseMode(response_mode aMood) { mResponseMode = aMood; }
   /// Nothing is answered any more, the questions that are open included, and
   /// no connection ends: what a path looks like that was cut.
-  void FallSilent();
+  void StopAnswering();
   /// At most so many rows in one answer of a whole reading.
-  void SetPage(std::size_t aRows) { mPage = aRows; }
+  void SetPageSize(std::size_t aRows) { mPageSize = aRows; }
   /// From now on answers go out in slices, as over a narrow link.
-  void SetPace(std::size_t aSliceBytes, duration aEvery);
+  void ThrottleAnswers(std::size_t aSliceBytes, duration aEvery);
   std::size_t Calls() const { return mCalls; }
-  /// Questions about a table, answered or not.
-  std::size_t Questions(const std::string& aTable) const;
+  /// RequestsForTable about a table, answered or not.
+  std::size_t RequestsForTable(const std::string& aTable) const;
   /// Rows of a table that were handed out in answers.
-  std::size_t Handed(const std::string& aTable) const;
+  std::size_t RowsSentFromTable(const std::string& aTable) const;
   /// Answers of which a part had gone out when the other side left.
-  std::size_t CutShort() const { return mCutShort; }
+  std::size_t AbortedAnswers() const { return mAbortedAnswers; }
   bool Has(const std::string& aTable, const std::string& aKey) const;
 
 private:
@@ -107,7 +107,7 @@
     std::string mKey;
     row mRow;
   };
-  struct slow_answer
+  struct throttled_answer
   {
     std::shared_ptr<standin_server::connection> mConnection;
     std::string mRest;
@@ -129,18 +129,18 @@
   event_loop& mLoop;
   std::map<std::pair<std::string, std::string>, row> mRows;
   std::deque<change> mHistory;
-  std::map<std::string, std::size_t> mQuestions;
-  std::map<std::string, std::size_t> mHanded;
-  std::vector<slow_answer> mSlow;
-  std::size_t mPage = 500;
+  std::map<std::string, std::size_t> mRequestsByTable;
+  std::map<std::string, std::size_t> mRowsSentByTable;
+  std::vector<throttled_answer> mThrottledAnswers;
+  std::size_t mPageSize = 500;
   std::size_t mSliceBytes = 0;
   duration mSliceEvery{};
-  std::size_t mCutShort = 0;
+  std::size_t mAbortedAnswers = 0;
   bool mSending = false;
   std::uint64_t mRevision = 10;
-  std::uint64_t mOldest = 0;
+  std::uint64_t mOldestKnownRevision = 0;
   std::vector<poll> mPolls;
-  mood mMood = mood::Good;
+  response_mode mResponseMode = response_mode::Good;
   std::size_t mCalls = 0;
   standin_server mServer;
 };
@@ -152,9 +152,9 @@
   standin_caller(event_loop& aLoop, std::uint16_t aPort);
   standin_caller(event_loop& aLoop, const ip_address& aEntry);
   void Send(const std::string& aBytes) { mChannel->Write(aBytes); }
-  void Leave() { mChannel->Close(); }
+  void CloseConnection() { mChannel->Close(); }
   void StopReading(bool aStopped) { mChannel->PauseReading(aStopped); }
-  const std::string& Seen() const { return mChannel->Input(); }
+  const std::string& ReceivedBytes() const { return mChannel->Input(); }
   bool Ended() const { return mEnded; }
   /// True once a whole answer stands in what was seen.
   bool Answered() const;
@@ -203,9 +203,9 @@
             const std::string& aBody);
 
 /// One gateway with its platform.
-struct gateway_world
+struct gateway_fixture
 {
-  gateway_world();
+  gateway_fixture();
   /// Turns the loop until the condition holds; fails the test if it does not
   /// within a generous time.
   void Until(const std::function<bool()>& aCondition, const std::string& aWhat);
@@ -236,6 +236,6 @@
 
 /// The head of an endpoint's good answer to a request.
 std::string
-GoodHead(const http_head& aRequest, const std::string& aFraming);
+SuccessHead(const http_head& aRequest, const std::string& aFraming);
 
 } // namespace primrose::test
--- a/Tests/Gateway/StreamTest.cpp
+++ b/Tests/Gateway/StreamTest.cpp
@@ -42,7 +42,8 @@
       constexpr milliseconds kReading(700);
       List("i-model", "model", mModel.mServer.Address());
       mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-        std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+        std::string bytes =
+          SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
         AppendChunk(bytes, Event(1));
         aConnection.mChannel->Write(bytes);
       };
@@ -76,7 +77,9 @@
     w.EndStream();
     w.Until([&w]() { return w.mModel.mHeads.size() == 2; }, "the long prompt");
     w.Until(
-      [&w]() { return w.mWaiting->Seen().find(Event(1)) != std::string::npos; },
+      [&w]() {
+        return w.mWaiting->ReceivedBytes().find(Event(1)) != std::string::npos;
+      },
       "its first event");
   }
 
@@ -84,7 +87,7 @@
   void CallerThatLeavesWhileItsPromptWaitsIsSentNowhere()
   {
     postponed_prompt_world w;
-    w.mWaiting->Leave();
+    w.mWaiting->CloseConnection();
     w.For(milliseconds(100));
     w.EndStream();
     w.For(milliseconds(400));
@@ -97,7 +100,7 @@
     world w;
     w.List("i-model", "model", w.mModel.mServer.Address());
     w.mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1) + "id: 2\nhalf");
       aConnection.mChannel->Write(bytes);
     };
@@ -105,9 +108,11 @@
     standin_caller& caller =
       w.Ask(w.Request("r1", "stream", "Token-Usage: 1000,50\r\n"));
     w.Until(
-      [&caller]() { return caller.Seen().find(Event(1)) != std::string::npos; },
+      [&caller]() {
+        return caller.ReceivedBytes().find(Event(1)) != std::string::npos;
+      },
       "the first event, before the second is whole");
-    CPPUNIT_ASSERT(caller.Seen().find("half") == std::string::npos);
+    CPPUNIT_ASSERT(caller.ReceivedBytes().find("half") == std::string::npos);
     std::string rest;
     AppendChunk(rest, "\n\n");
     rest.append(kLastChunk);
@@ -125,7 +130,7 @@
     w.List("i-model", "model", w.mModel.mServer.Address());
     endpoint_fixture other(w.mLoop);
     const auto answer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       if (!FieldValue(aHead.mFields, "last-event-id").has_value()) {
         AppendChunk(bytes, Event(1) + Event(2) + "id: 3\nda");
         aConnection.mChannel->Write(bytes);
@@ -164,7 +169,7 @@
         aConnection.mChannel->Abort();
         return;
       }
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1));
       bytes.append(kLastChunk);
       aConnection.mChannel->Write(bytes);
@@ -191,7 +196,7 @@
     world w;
     endpoint_fixture other(w.mLoop);
     const auto answer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       if (!FieldValue(aHead.mFields, "last-event-id").has_value()) {
         AppendChunk(bytes, Event(1));
         aConnection.mChannel->Write(bytes);
@@ -218,7 +223,7 @@
     world w;
     w.List("i-model", "model", w.mModel.mServer.Address());
     w.mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1));
       aConnection.mChannel->Write(bytes);
       aConnection.mChannel->CloseWhenDrained();
@@ -237,7 +242,7 @@
     w.List("i-model", "model", w.mModel.mServer.Address());
     constexpr std::size_t kMost = std::size_t{ 64 } * 1024 * 1024;
     w.mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       const std::string filler(60000, 'x');
       for (int id = 1; bytes.size() < kMost; ++id) {
         AppendChunk(bytes,
@@ -266,7 +271,7 @@
         aConnection.Next();
         return;
       }
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1));
       bytes.append(kLastChunk);
       aConnection.mChannel->Write(bytes);
@@ -406,7 +411,7 @@
           return;
         }
       }
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1));
       bytes.append(kLastChunk);
       aConnection.mChannel->Write(bytes);
@@ -467,7 +472,7 @@
                                   const http_head& aHead) {
       if (writing.size() < kSlots) {
         aConnection.mChannel->Write(
-          GoodHead(aHead, "Transfer-Encoding: chunked\r\n"));
+          SuccessHead(aHead, "Transfer-Encoding: chunked\r\n"));
         writing.push_back(&aConnection);
       }
     };
@@ -515,7 +520,7 @@
     world w;
     w.List("i-model", "model", w.mModel.mServer.Address());
     w.mModel.mAnswer = [](connection& aConnection, const http_head& aHead) {
-      std::string bytes = GoodHead(aHead, "Transfer-Encoding: chunked\r\n");
+      std::string bytes = SuccessHead(aHead, "Transfer-Encoding: chunked\r\n");
       AppendChunk(bytes, Event(1));
       bytes.append(kLastChunk);
       aConnection.mChannel->Write(bytes);
--- a/Tests/Gateway/TableSyncTest.cpp
+++ b/Tests/Gateway/TableSyncTest.cpp
@@ -56,7 +56,7 @@
     constexpr duration kBetweenQuestions = milliseconds(800);
     world w;
     w.Start();
-    const std::size_t asked = w.mStore.Questions("servers");
+    const std::size_t asked = w.mStore.RequestsForTable("servers");
     const time_point began = w.mLoop.Now();
     for (int i = 0; i < kEndpoints; ++i) {
       w.List("i-" + std::to_string(i), "model", w.mModel.mServer.Address());
@@ -65,7 +65,7 @@
     const double spans =
       Seconds(w.mLoop.Now() - began) / Seconds(kBetweenQuestions);
     const std::size_t most = static_cast<std::size_t>(spans) + 3;
-    CPPUNIT_ASSERT(w.mStore.Questions("servers") - asked <= most);
+    CPPUNIT_ASSERT(w.mStore.RequestsForTable("servers") - asked <= most);
     w.Until(
       [&w]() {
         return w.mGateway->Board().mEndpoints.mEndpoints.size() > kEndpoints;
@@ -96,10 +96,10 @@
   {
     world w;
     w.Start();
-    w.mStore.SetMood(standin_store::mood::Silent);
+    w.mStore.SetResponseMode(standin_store::response_mode::Silent);
     w.PutManifest(9, "added");
     w.For(milliseconds(200));
-    w.mStore.SetMood(standin_store::mood::Good);
+    w.mStore.SetResponseMode(standin_store::response_mode::Good);
     w.Until(
       [&w]() {
         return w.mGateway->Board().mManifest->Manifest().mVersion == 9;
@@ -146,7 +146,7 @@
     for (std::size_t i = 0; i < kOthers; ++i) {
       w.mStore.Put("entries", "127.0.1." + std::to_string(i + 1), "entry");
     }
-    w.mStore.SetPage(3);
+    w.mStore.SetPageSize(3);
     w.Start();
     w.Until([&w]() { return w.mGateway->Board().mGatewaysLoaded; },
             "the table");
@@ -199,7 +199,7 @@
     w.Until(
       [&second]() { return second->Board().mLedger.mPlacements.size() == 1; },
       "the placement of the first entry");
-    w.mCallers.back()->Leave();
+    w.mCallers.back()->CloseConnection();
     w.Until([&second]() { return second->Board().mLedger.mPlacements.empty(); },
             "its end");
   }
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -38,8 +38,8 @@
     std::cout << " status_" << status << "=" << count;
   }
   std::cout << '\n';
-  const std::vector<broken_promise> broken = CheckHistory(aHistory);
-  for (const broken_promise& one : broken) {
+  const std::vector<guarantee_violation> broken = CheckHistory(aHistory);
+  for (const guarantee_violation& one : broken) {
     std::cout << "broken request=" << one.mRequest << " what=\"" << one.mWhat
               << "\"\n";
     for (const request_record& request : aHistory.mRequests) {
@@ -105,7 +105,7 @@
   g_free(made);
   std::cout << "seed=" << asked.mSeed << " seconds=" << asked.mSeconds
             << " entries=" << asked.mSize.mEntries << '\n';
-  soak_world world(asked.mProgram, folder, asked.mSeed, asked.mSize);
+  soak_environment world(asked.mProgram, folder, asked.mSeed, asked.mSize);
   world.Run(std::chrono::seconds(asked.mSeconds), asked.mSeed);
   soak_history history = world.History();
   history.mTimed = !asked.mUntimed;
--- a/Tests/Soak/SoakEnvironment.cpp
+++ b/Tests/Soak/SoakEnvironment.cpp
@@ -43,16 +43,16 @@
 
 } // namespace
 
-struct soak_world::call
+struct soak_environment::call
 {
   request_record mRecord;
   std::unique_ptr<test::standin_caller> mCaller;
 };
 
-soak_world::soak_world(std::string aProgram,
-                       std::string aFolder,
-                       std::uint64_t aSeed,
-                       const soak_size& aSize)
+soak_environment::soak_environment(std::string aProgram,
+                                   std::string aFolder,
+                                   std::uint64_t aSeed,
+                                   const soak_size& aSize)
   : mProgram(std::move(aProgram))
   , mFolder(std::move(aFolder))
   , mRandom(aSeed + 1)
@@ -76,7 +76,7 @@
   }
 }
 
-soak_world::~soak_world()
+soak_environment::~soak_environment()
 {
   for (const entry_process& one : mEntries) {
     if (one.mHandle != nullptr) {
@@ -89,13 +89,13 @@
 }
 
 void
-soak_world::After(duration aDelay, std::function<void()> aAction)
+soak_environment::After(duration aDelay, std::function<void()> aAction)
 {
   (void)mLoop.After(aDelay, std::move(aAction));
 }
 
 void
-soak_world::StartEntry(std::size_t aEntry)
+soak_environment::StartEntry(std::size_t aEntry)
 {
   entry_process& one = mEntries[aEntry];
   if (one.mHandle != nullptr) {
@@ -146,7 +146,7 @@
 }
 
 void
-soak_world::MakeEndpoint(std::size_t aEndpoint)
+soak_environment::MakeEndpoint(std::size_t aEndpoint)
 {
   soak_endpoint& one = mEndpoints[aEndpoint];
   one.mFault.reset();
@@ -166,9 +166,9 @@
 }
 
 void
-soak_world::Write(test::standin_server::connection& aConnection,
-                  const std::string& aBytes,
-                  bool aLast)
+soak_environment::Write(test::standin_server::connection& aConnection,
+                        const std::string& aBytes,
+                        bool aLast)
 {
   if (aConnection.mEnded || !aConnection.mChannel->Open()) {
     return;
@@ -180,9 +180,9 @@
 }
 
 void
-soak_world::ServeOrder(soak_endpoint& aEndpoint,
-                       test::standin_server::connection& aConnection,
-                       const std::string& aBody)
+soak_environment::ServeOrder(soak_endpoint& aEndpoint,
+                             test::standin_server::connection& aConnection,
+                             const std::string& aBody)
 {
   const json order = json::parse(aBody);
   const std::string id = order.at("id").get<std::string>();
@@ -196,10 +196,10 @@
 }
 
 void
-soak_world::Serve(std::size_t aEndpoint,
-                  test::standin_server::connection& aConnection,
-                  const http_head& aHead,
-                  const std::string& aBody)
+soak_environment::Serve(std::size_t aEndpoint,
+                        test::standin_server::connection& aConnection,
+                        const http_head& aHead,
+                        const std::string& aBody)
 {
   soak_endpoint& one = mEndpoints[aEndpoint];
   if (aHead.mTarget == "/order") {
@@ -263,7 +263,7 @@
   if (one.mService == "desk") {
     const std::string body = CallBody(id);
     std::string answer =
-      test::GoodHead(
+      test::SuccessHead(
         aHead, "Content-Length: " + std::to_string(body.size()) + "\r\n") +
       body;
     if (one.mFault == fault_kind::EndpointAnswersTwice) {
@@ -279,7 +279,7 @@
     FieldValue(aHead.mFields, "last-event-id");
   const int first = last.has_value() ? std::stoi(std::string(*last)) + 1 : 1;
   later(duration::zero(),
-        test::GoodHead(aHead, "Transfer-Encoding: chunked\r\n"),
+        test::SuccessHead(aHead, "Transfer-Encoding: chunked\r\n"),
         false,
         false);
   for (int event = first; event <= kEventsOfStream; ++event) {
@@ -300,7 +300,7 @@
 }
 
 void
-soak_world::CrashEndpoint(std::size_t aEndpoint)
+soak_environment::CrashEndpoint(std::size_t aEndpoint)
 {
   soak_endpoint& one = mEndpoints[aEndpoint];
   if (one.mCrashed) {
@@ -322,13 +322,13 @@
 }
 
 void
-soak_world::OnCrashing(const std::string& aId)
+soak_environment::OnCrashing(const std::string& aId)
 {
   // Named after the entry that it was sent to.
   const std::size_t entry = std::stoul(aId.substr(1, aId.find('-') - 1));
   const time_point now = mLoop.Now();
   bool well = mEntries[entry].mTakesCallersFrom <= now - kInForce;
-  for (const hurt_span& span : mHistory.mHurt) {
+  for (const disturbance_span& span : mHistory.mDisturbances) {
     well = well && (span.mEntry != entry || span.mTo < now);
   }
   if (mCrashingEnds >= 3 && now > mThirdEnd + kInForce && well) {
@@ -340,7 +340,7 @@
 }
 
 void
-soak_world::SendCrashing()
+soak_environment::SendCrashing()
 {
   if (!mSending) {
     return;
@@ -358,18 +358,18 @@
                                  "stream",
                                  "Token-Usage: 1000,50\r\n",
                                  kCrashingBody));
-  After(std::chrono::seconds(1), [caller]() { caller->Leave(); });
+  After(std::chrono::seconds(1), [caller]() { caller->CloseConnection(); });
 }
 
 void
-soak_world::PutManifest()
+soak_environment::PutManifest()
 {
   ++mVersion;
   test::WriteManifest(mStore, mVersion, RouteOf(mVersion));
 }
 
 std::optional<std::size_t>
-soak_world::AnyOpenEntry()
+soak_environment::AnyOpenEntry()
 {
   const time_point now = mLoop.Now();
   std::vector<std::size_t> open;
@@ -386,7 +386,7 @@
 }
 
 void
-soak_world::SendRequest()
+soak_environment::SendRequest()
 {
   if (!mSending) {
     return;
@@ -425,7 +425,7 @@
 }
 
 void
-soak_world::Settle(const std::shared_ptr<call>& aCall)
+soak_environment::Settle(const std::shared_ptr<call>& aCall)
 {
   request_record& record = aCall->mRecord;
   record.mEnded = mLoop.Now();
@@ -434,15 +434,15 @@
   record.mProven = aCall->mCaller->Field("response-seal").has_value();
   record.mAnswerId = aCall->mCaller->Field("request-id").value_or("");
   record.mBody = aCall->mCaller->Body();
-  record.mBytes = aCall->mCaller->Seen().size();
-  aCall->mCaller->Leave();
+  record.mBytes = aCall->mCaller->ReceivedBytes().size();
+  aCall->mCaller->CloseConnection();
   mHistory.mRequests.push_back(record);
   mLoop.DeleteLater(
     std::shared_ptr<test::standin_caller>(std::move(aCall->mCaller)));
 }
 
 void
-soak_world::Look()
+soak_environment::Look()
 {
   for (const std::shared_ptr<call>& one : mCalls) {
     if (one->mCaller->Answered() || one->mCaller->Ended()) {
@@ -455,20 +455,20 @@
 }
 
 void
-soak_world::Hurt(std::size_t aEntry, duration aFor)
+soak_environment::Hurt(std::size_t aEntry, duration aFor)
 {
   const time_point now = mLoop.Now();
-  mHistory.mHurt.push_back({ aEntry, now, now + aFor + kInForce });
+  mHistory.mDisturbances.push_back({ aEntry, now, now + aFor + kInForce });
 }
 
 void
-soak_world::Signal(std::size_t aEntry, int aSignal)
+soak_environment::Signal(std::size_t aEntry, int aSignal)
 {
   g_subprocess_send_signal(mEntries[aEntry].mHandle, aSignal);
 }
 
 void
-soak_world::Restart(std::size_t aEntry, duration aAfter)
+soak_environment::Restart(std::size_t aEntry, duration aAfter)
 {
   mEntries[aEntry].mTakesCallersFrom = mLoop.Now() + std::chrono::hours(1);
   After(aAfter, [this, aEntry]() {
@@ -480,7 +480,7 @@
 }
 
 void
-soak_world::Begin(const fault& aFault)
+soak_environment::Begin(const fault& aFault)
 {
   std::cout << "fault at=" << Seconds(aFault.mAt)
             << " kind=" << FaultName(aFault.mKind)
@@ -512,7 +512,7 @@
     case fault_kind::Terminate:
       if (up) {
         mEntries[entry].mEnding = true;
-        mHistory.mPlanned.push_back({ entry, now });
+        mHistory.mPlannedExits.push_back({ entry, now });
         mEntries[entry].mTakesCallersTo = now + kNoticeTime;
         Signal(entry, SIGTERM);
         After(kGrace, [this, entry]() { Restart(entry, kRestartAfter); });
@@ -526,9 +526,9 @@
     case fault_kind::StoreRefuses:
     case fault_kind::StoreSilent:
       ++mStoreFaults;
-      mStore.SetMood(aFault.mKind == fault_kind::StoreRefuses
-                       ? test::standin_store::mood::Refusing
-                       : test::standin_store::mood::Silent);
+      mStore.SetResponseMode(aFault.mKind == fault_kind::StoreRefuses
+                               ? test::standin_store::response_mode::Refusing
+                               : test::standin_store::response_mode::Silent);
       return;
     case fault_kind::StoreForgets:
       mStore.LoseHistory();
@@ -567,7 +567,7 @@
 }
 
 void
-soak_world::End(const fault& aFault)
+soak_environment::End(const fault& aFault)
 {
   const std::size_t entry = aFault.mTarget % mEntries.size();
   soak_endpoint& endpoint = mEndpoints[aFault.mTarget % mEndpoints.size()];
@@ -581,7 +581,7 @@
     case fault_kind::StoreRefuses:
     case fault_kind::StoreSilent:
       if (--mStoreFaults == 0) {
-        mStore.SetMood(test::standin_store::mood::Good);
+        mStore.SetResponseMode(test::standin_store::response_mode::Good);
         mStoreGoodSince = mLoop.Now();
       }
       return;
@@ -594,7 +594,7 @@
 }
 
 void
-soak_world::CheckManifest(std::uint64_t aVersion)
+soak_environment::CheckManifest(std::uint64_t aVersion)
 {
   const time_point now = mLoop.Now();
   if (aVersion != mVersion || mStoreFaults > 0 ||
@@ -604,7 +604,7 @@
   for (std::size_t i = 0; i < mEntries.size(); ++i) {
     bool well = mEntries[i].mTakesCallersFrom <= now - kInForce &&
                 mEntries[i].mTakesCallersTo > now && !mEntries[i].mPaused;
-    for (const hurt_span& span : mHistory.mHurt) {
+    for (const disturbance_span& span : mHistory.mDisturbances) {
       well = well && (span.mEntry != i || span.mTo < now);
     }
     if (!well) {
@@ -620,30 +620,30 @@
                                    ""));
     After(std::chrono::seconds(2), [this, caller, i, aVersion]() {
       if (caller->Status() == 404 && aVersion == mVersion) {
-        mHistory.mOther.push_back("entry " + std::to_string(i + 1) +
-                                  " does not serve version " +
-                                  std::to_string(aVersion));
+        mHistory.mOtherViolations.push_back("entry " + std::to_string(i + 1) +
+                                            " does not serve version " +
+                                            std::to_string(aVersion));
       }
-      caller->Leave();
+      caller->CloseConnection();
     });
   }
 }
 
 void
-soak_world::CheckMemory()
+soak_environment::CheckMemory()
 {
   for (const soak_endpoint& one : mEndpoints) {
     for (const auto& [id, until] : one.mReserved) {
       if (until > mLoop.Now()) {
-        mHistory.mOther.push_back("memory " + id + " stays set aside at " +
-                                  one.mId);
+        mHistory.mOtherViolations.push_back("memory " + id +
+                                            " stays set aside at " + one.mId);
       }
     }
   }
 }
 
 void
-soak_world::Run(duration aLength, std::uint64_t aSeed)
+soak_environment::Run(duration aLength, std::uint64_t aSeed)
 {
   const time_point begin = mLoop.Now();
   const auto turnUntil = [this](time_point aEnd) {
--- a/Tests/Soak/SoakEnvironment.h
+++ b/Tests/Soak/SoakEnvironment.h
@@ -45,16 +45,16 @@
   std::map<std::string, time_point> mReserved; ///< Until when.
 };
 
-class soak_world
+class soak_environment
 {
 public:
-  soak_world(std::string aProgram,
-             std::string aFolder,
-             std::uint64_t aSeed,
-             const soak_size& aSize);
-  ~soak_world();
-  soak_world(const soak_world&) = delete;
-  soak_world& operator=(const soak_world&) = delete;
+  soak_environment(std::string aProgram,
+                   std::string aFolder,
+                   std::uint64_t aSeed,
+                   const soak_size& aSize);
+  ~soak_environment();
+  soak_environment(const soak_environment&) = delete;
+  soak_environment& operator=(const soak_environment&) = delete;
 
   /// Load under the faults of a seed, then a quiet time in which all ends.
   void Run(duration aLength, std::uint64_t aSeed);
