--- a/Tests/Unit/LogStoryTest.cpp
+++ b/Tests/Unit/RequestTimelineTest.cpp
@@ -1,4 +1,4 @@
-#include "LogStory.h"
+#include "RequestTimeline.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/Tests/Unit/WorldTest.cpp
+++ b/Tests/Unit/SimulationTest.cpp
@@ -1,6 +1,6 @@
 /// The engine model and the experiments' world.
 
-#include "World.h"
+#include "Simulation.h"
 #include "Experiment.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/Utilities/Bench/Experiment.h
+++ b/Utilities/Bench/Experiment.h
@@ -4,7 +4,7 @@
 /// follow from it.
 
 #include "LibRules/LibRules.h"
-#include "World.h"
+#include "Simulation.h"
 
 #include <functional>
 #include <string>
--- a/Utilities/Bench/World.cpp
+++ b/Utilities/Bench/Simulation.cpp
@@ -1,4 +1,4 @@
-#include "World.h"
+#include "Simulation.h"
 
 #include <algorithm>
 #include <map>
--- a/Utilities/Control/LogCommands.cpp
+++ b/Utilities/Control/LogCommands.cpp
@@ -1,5 +1,5 @@
 #include "Control.h"
-#include "LogStory.h"
+#include "RequestTimeline.h"
 
 #include <fstream>
 #include <iostream>
--- a/Utilities/Control/LogStory.cpp
+++ b/Utilities/Control/RequestTimeline.cpp
@@ -1,4 +1,4 @@
-#include "LogStory.h"
+#include "RequestTimeline.h"
 
 #include <algorithm>
 #include <array>
--- a/Utilities/StandIn/Face.cpp
+++ b/Utilities/StandIn/Emulator.cpp
@@ -1,4 +1,4 @@
-#include "Face.h"
+#include "Emulator.h"
 
 #include <glib.h>
 
--- a/Utilities/StandIn/EngineFace.cpp
+++ b/Utilities/StandIn/EngineEmulator.cpp
@@ -12,7 +12,7 @@
 /// A stream whose reader went away goes on and holds its memory, so that it
 /// can be resumed; only its end or a cancel frees it.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include "LibModel/LibModel.h"
 #include "LibRules/LibRules.h"
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -1,7 +1,7 @@
 /// primrose-standin: stands in for the outside systems in tests and in the
 /// first run: a model engine, a plain service, or the platform.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include "LibDaemon/LibDaemon.h"
 
--- a/Utilities/StandIn/PlatformFace.cpp
+++ b/Utilities/StandIn/PlatformEmulator.cpp
@@ -1,7 +1,7 @@
 /// The platform: a transactional table service, an object store and the list
 /// of VMs, which lags. Everything is kept in memory for the stand-in's life.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include <deque>
 #include <map>
--- a/Utilities/StandIn/ServiceFace.cpp
+++ b/Utilities/StandIn/ServiceEmulator.cpp
@@ -1,7 +1,7 @@
 /// A plain service beside the model engines. It counts what it executes, for
 /// each idempotency key, so that a test can tell whether something ran twice.
 
-#include "Face.h"
+#include "Emulator.h"
 
 #include <map>
 
