--- a/Utilities/Bench/Costs.cpp
+++ b/Utilities/Bench/Costs.cpp
@@ -50,7 +50,7 @@
 }
 
 agent_state
-BoardWith(int aWork)
+AgentWithReservations(int aWork)
 {
   engine_shape shape;
   shape.mCapacity = 100000000;
@@ -106,7 +106,7 @@
 void
 ProbeAgainstWork(benchmark::State& aState)
 {
-  agent_state board = BoardWith(static_cast<int>(aState.range(0)));
+  agent_state board = AgentWithReservations(static_cast<int>(aState.range(0)));
   const request_shape shape = Shape(3000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(Probe(board, shape, kStart));
@@ -120,7 +120,8 @@
 {
   for (auto _ : aState) {
     aState.PauseTiming();
-    agent_state board = BoardWith(static_cast<int>(aState.range(0)));
+    agent_state board =
+      AgentWithReservations(static_cast<int>(aState.range(0)));
     aState.ResumeTiming();
     benchmark::DoNotOptimize(Dispatch(board, kStart));
   }
@@ -138,7 +139,7 @@
   double bytes = 0;
   for (auto _ : aState) {
     const double before = HeapBytes();
-    const agent_state board = BoardWith(count);
+    const agent_state board = AgentWithReservations(count);
     bytes = HeapBytes() - before;
     benchmark::DoNotOptimize(&board);
   }
--- a/Utilities/Bench/Experiment.cpp
+++ b/Utilities/Bench/Experiment.cpp
@@ -41,7 +41,7 @@
 };
 
 result<bench_policy>
-PolicyNamed(const std::string& aName, const policy& aValues)
+MakeBenchPolicy(const std::string& aName, const policy& aValues)
 {
   const auto baseline = kBaselines.find(aName);
   if (baseline != kBaselines.end()) {
@@ -132,15 +132,15 @@
 }
 
 void
-ReadWorld(object_reader& aReader, world_settings& aWorld)
+ReadWorld(object_reader& aReader, simulation_settings& aWorld)
 {
   aWorld.mEngines = static_cast<std::size_t>(
     aReader.Number("engines", { 1, 2000, "engines" }).value_or(20));
   aWorld.mEntries = static_cast<std::size_t>(
     aReader.Number("entries", { 1, 1000, "entries" }).value_or(4));
-  aWorld.mLostProbes =
+  aWorld.mProbeLossRate =
     aReader.Number("lost_probes", { 0, 1, "part" }).value_or(0);
-  aWorld.mDeaths = static_cast<std::size_t>(
+  aWorld.mEngineCrashes = static_cast<std::size_t>(
     aReader.Number("deaths", { 0, 2000, "engines" }).value_or(0));
 }
 
@@ -166,7 +166,7 @@
 }
 
 double
-AloneSeconds(const arrival& aArrival, const engine_shape& aEngine)
+IdleEngineSeconds(const arrival& aArrival, const engine_shape& aEngine)
 {
   const double prompt = static_cast<double>(aArrival.mShape.mPromptTokens);
   const double chunk = static_cast<double>(aEngine.mChunk);
@@ -179,7 +179,7 @@
 }
 
 sample
-ShortSlowdowns(const world_result& aResult,
+ShortSlowdowns(const simulation_result& aResult,
                const std::vector<arrival>& aArrivals,
                const engine_shape& aEngine)
 {
@@ -187,8 +187,9 @@
   for (const request_record& record : aResult.mRequests) {
     const arrival& own = aArrivals[record.mArrival];
     if (own.mShape.mPromptTokens <= kShortLimit &&
-        record.mEnd == request_end::Complete) {
-      slowdowns.mValues.push_back(record.mTotal / AloneSeconds(own, aEngine));
+        record.mEnd == request_outcome::Complete) {
+      slowdowns.mValues.push_back(record.mSecondsToEnd /
+                                  IdleEngineSeconds(own, aEngine));
     }
   }
   std::sort(slowdowns.mValues.begin(), slowdowns.mValues.end());
@@ -199,7 +200,7 @@
 /// all of them ask for more than that.
 double
 ShareError(const experiment& aExperiment,
-           const world_result& aResult,
+           const simulation_result& aResult,
            const std::vector<arrival>& aArrivals)
 {
   const std::vector<organisation_share>& shares =
@@ -213,8 +214,8 @@
   const time_point end = aArrivals.back().mAt;
   for (const request_record& record : aResult.mRequests) {
     const arrival& own = aArrivals[record.mArrival];
-    const bool inTime = own.mAt + FromSeconds(record.mTotal) <= end;
-    if (record.mEnd == request_end::Complete && inTime) {
+    const bool inTime = own.mAt + FromSeconds(record.mSecondsToEnd) <= end;
+    if (record.mEnd == request_outcome::Complete && inTime) {
       const double cost =
         NominalCost(own.mShape, own.mOutput, aExperiment.mWorld.mEngine);
       served[own.mOrganisation] += cost;
@@ -232,13 +233,15 @@
 void
 Count(run_summary& aSummary, const request_record& aRecord)
 {
-  aSummary.mComplete += aRecord.mEnd == request_end::Complete ? 1 : 0;
-  aSummary.mRefused += aRecord.mEnd == request_end::Refused ? 1 : 0;
-  aSummary.mLate += aRecord.mEnd == request_end::Late ? 1 : 0;
+  aSummary.mComplete += aRecord.mEnd == request_outcome::Complete ? 1 : 0;
+  aSummary.mRefused += aRecord.mEnd == request_outcome::Refused ? 1 : 0;
+  aSummary.mTimedOutCount += aRecord.mEnd == request_outcome::Late ? 1 : 0;
 }
 
 run_summary
-RunOne(const experiment& aExperiment, const bench_policy& aPolicy, double aLoad)
+SimulateRun(const experiment& aExperiment,
+            const bench_policy& aPolicy,
+            double aLoad)
 {
   const engine_shape& engine = aExperiment.mWorld.mEngine;
   const double rate =
@@ -250,28 +253,29 @@
                  FromSeconds(aExperiment.mSeconds),
                  aExperiment.mLongPrompt,
                  aExperiment.mSeed);
-  const world_result result = RunWorld(
+  const simulation_result result = RunSimulation(
     aExperiment.mWorld, aPolicy, aExperiment.mMix, arrivals, aExperiment.mSeed);
   run_summary summary;
   summary.mPolicy = aPolicy.mName;
   summary.mLoad = aLoad;
-  summary.mOffered = arrivals.size();
+  summary.mArrivalCount = arrivals.size();
   double served = 0;
   for (const request_record& record : result.mRequests) {
     const arrival& own = arrivals[record.mArrival];
     Count(summary, record);
-    if (record.mEnd != request_end::Complete) {
+    if (record.mEnd != request_outcome::Complete) {
       continue;
     }
     served += NominalCost(own.mShape, own.mOutput, engine);
     const tokens length = own.mShape.mPromptTokens;
-    sample& first = length <= kShortLimit  ? summary.mShortFirst
-                    : length <= kLongLimit ? summary.mMiddleFirst
-                                           : summary.mLongFirst;
-    first.mValues.push_back(record.mFirstToken);
+    sample& first = length <= kShortLimit  ? summary.mShortFirstToken
+                    : length <= kLongLimit ? summary.mMiddleFirstToken
+                                           : summary.mLongFirstToken;
+    first.mValues.push_back(record.mSecondsToFirstToken);
   }
-  for (sample* const one :
-       { &summary.mShortFirst, &summary.mMiddleFirst, &summary.mLongFirst }) {
+  for (sample* const one : { &summary.mShortFirstToken,
+                             &summary.mMiddleFirstToken,
+                             &summary.mLongFirstToken }) {
     std::sort(one->mValues.begin(), one->mValues.end());
   }
   const double engineSeconds =
@@ -282,7 +286,7 @@
   summary.mProbesPerRequest = static_cast<double>(result.mProbes) / offered;
   summary.mReservationsPerRequest =
     static_cast<double>(result.mReservations) / offered;
-  summary.mMemoryLeft = result.mMemoryLeft;
+  summary.mLeakedTokens = result.mLeakedTokens;
   summary.mShareError = ShareError(aExperiment, result, arrivals);
   summary.mShortSlowdown = ShortSlowdowns(result, arrivals, engine);
   std::vector<arrival> shortOnly;
@@ -291,13 +295,14 @@
       shortOnly.push_back(one);
     }
   }
-  summary.mShortSlowdownAlone = ShortSlowdowns(RunWorld(aExperiment.mWorld,
-                                                        aPolicy,
-                                                        aExperiment.mMix,
-                                                        shortOnly,
-                                                        aExperiment.mSeed),
-                                               shortOnly,
-                                               engine);
+  summary.mShortSlowdownWithoutLong =
+    ShortSlowdowns(RunSimulation(aExperiment.mWorld,
+                                 aPolicy,
+                                 aExperiment.mMix,
+                                 shortOnly,
+                                 aExperiment.mSeed),
+                   shortOnly,
+                   engine);
   return summary;
 }
 
@@ -365,7 +370,7 @@
   read.mWorld.mQueueWaitSeconds = values.mQueueWaitSeconds;
   read.mWorld.mLongQueueWaitSeconds = values.mLongQueueWaitSeconds;
   for (const std::string& name : policies) {
-    BOOST_LEAF_ASSIGN(bench_policy one, PolicyNamed(name, values));
+    BOOST_LEAF_ASSIGN(bench_policy one, MakeBenchPolicy(name, values));
     read.mPolicies.push_back(std::move(one));
   }
   return read;
@@ -394,7 +399,7 @@
     std::vector<std::future<run_summary>> batch;
     for (std::size_t i = first; i < end; ++i) {
       batch.push_back(std::async(std::launch::async, [&, i]() {
-        return RunOne(aExperiment, *runs[i].mPolicy, runs[i].mLoad);
+        return SimulateRun(aExperiment, *runs[i].mPolicy, runs[i].mLoad);
       }));
     }
     for (std::size_t i = first; i < end; ++i) {
--- a/Utilities/Bench/Experiment.h
+++ b/Utilities/Bench/Experiment.h
@@ -15,7 +15,7 @@
 struct experiment
 {
   std::string mName;
-  world_settings mWorld;
+  simulation_settings mWorld;
   traffic_mix mMix;
   std::vector<double> mLoads; ///< Parts of the nominal capacity.
   std::vector<bench_policy> mPolicies;
@@ -42,22 +42,23 @@
 {
   std::string mPolicy;
   double mLoad = 0;
-  std::size_t mOffered = 0;
+  std::size_t mArrivalCount = 0;
   std::size_t mComplete = 0;
   std::size_t mRefused = 0;
-  std::size_t mLate = 0;
+  std::size_t mTimedOutCount = 0;
   double mGoodput =
     0; ///< Nominal engine-seconds completed a second, over the fleet's.
   double mBusy = 0;
   sample mShortSlowdown;
-  sample mShortSlowdownAlone; ///< The same short requests, no long ones there.
-  sample mShortFirst;
-  sample mMiddleFirst;
-  sample mLongFirst; ///< Prompts over 100,000 tokens.
+  sample
+    mShortSlowdownWithoutLong; ///< The same short requests, no long ones there.
+  sample mShortFirstToken;
+  sample mMiddleFirstToken;
+  sample mLongFirstToken; ///< Prompts over 100,000 tokens.
   double mProbesPerRequest = 0;
   double mReservationsPerRequest = 0;
   double mShareError = 0; ///< Largest distance from a fair share.
-  tokens mMemoryLeft = 0;
+  tokens mLeakedTokens = 0;
 
   bool operator==(const run_summary&) const = default;
 };
--- a/Utilities/Bench/GatewayCosts.cpp
+++ b/Utilities/Bench/GatewayCosts.cpp
@@ -32,9 +32,9 @@
 }
 
 /// Engines on a third of which ten streams each are written.
-struct busy_fleet
+struct loaded_fleet
 {
-  explicit busy_fleet(std::int64_t aEngines)
+  explicit loaded_fleet(std::int64_t aEngines)
   {
     for (std::int64_t i = 0; i < aEngines; ++i) {
       endpoint listed;
@@ -70,7 +70,7 @@
 void
 PlaceAgainstEngines(benchmark::State& aState, double aTokens)
 {
-  busy_fleet fleet(aState.range(0));
+  loaded_fleet fleet(aState.range(0));
   const engine_timing timing = SampleEngine();
   const placement_request work = Work(aTokens);
   for (auto _ : aState) {
@@ -93,7 +93,7 @@
 void
 PlacementNotedAndEnded(benchmark::State& aState)
 {
-  busy_fleet fleet(aState.range(0));
+  loaded_fleet fleet(aState.range(0));
   const engine_key engine = EngineKey("i-00000000");
   for (auto _ : aState) {
     const placement placed = fleet.Placed(engine);
--- a/Utilities/Bench/Main.cpp
+++ b/Utilities/Bench/Main.cpp
@@ -37,7 +37,7 @@
                                 << std::flush;
                     }
                   });
-  std::cout << TableOf(runs);
+  std::cout << FormatTable(runs);
   if (aOptions.mValues.count("output") != 0) {
     BOOST_LEAF_CHECK(
       WriteReport(planned, runs, aOptions.mValues["output"].as<std::string>()));
--- a/Utilities/Bench/Mix.cpp
+++ b/Utilities/Bench/Mix.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr double kLeastOutput = 4;
-constexpr double kMostOutputFactor = 8;
-constexpr std::uint64_t kPrefixes = 40;
+constexpr double kMinOutputTokens = 4;
+constexpr double kMaxOutputFactor = 8;
+constexpr std::uint64_t kSharedPrefixCount = 40;
 
 template<typename T>
 std::size_t
-Pick(const std::vector<T>& aItems, random_engine& aRandom)
+PickByWeight(const std::vector<T>& aItems, random_engine& aRandom)
 {
   double sum = 0;
   for (const T& item : aItems) {
@@ -38,13 +38,13 @@
 
 /// Marks of a prompt that shares its first part with others of the prefix.
 std::vector<std::uint64_t>
-DrawMarks(const traffic_mix& aMix,
-          tokens aPrompt,
-          std::uint64_t aNumber,
-          random_engine& aRandom)
+DrawPrefixHashes(const traffic_mix& aMix,
+                 tokens aPrompt,
+                 std::uint64_t aNumber,
+                 random_engine& aRandom)
 {
   const bool shares = Uniform(aRandom) < aMix.mSharedPrefixPart;
-  const std::uint64_t prefix = Below(aRandom, kPrefixes);
+  const std::uint64_t prefix = Below(aRandom, kSharedPrefixCount);
   const tokens shared = shares ? kMinPrefixTokens << Below(aRandom, 3) : 0;
   std::vector<std::uint64_t> marks;
   for (std::size_t i = 0; PrefixLength(i) <= aPrompt; ++i) {
@@ -100,7 +100,7 @@
   for (const length_class& one : aMix.mClasses) {
     request_shape mean;
     mean.mPromptTokens = static_cast<tokens>(MeanPrompt(one));
-    mean.mMaxTokens = static_cast<tokens>(kMostOutputFactor * one.mMeanOutput);
+    mean.mMaxTokens = static_cast<tokens>(kMaxOutputFactor * one.mMeanOutput);
     const tokens output = static_cast<tokens>(one.mMeanOutput);
     weights += one.mWeight;
     cost += one.mWeight * NominalCost(mean, output, aEngine);
@@ -130,8 +130,8 @@
     }
     arrival next;
     next.mAt = now;
-    next.mClass = Pick(aMix.mClasses, random);
-    next.mOrganisation = Pick(aMix.mOrganisations, random);
+    next.mClass = PickByWeight(aMix.mClasses, random);
+    next.mOrganisation = PickByWeight(aMix.mOrganisations, random);
     const length_class& one = aMix.mClasses[next.mClass];
     request_shape& shape = next.mShape;
     shape.mModel = "model";
@@ -140,13 +140,13 @@
       static_cast<tokens>(LogUniform(random, one.mLeast, one.mMost));
     const double output = Exponential(random, one.mMeanOutput);
     next.mOutput = static_cast<tokens>(
-      std::clamp(output, kLeastOutput, kMostOutputFactor * one.mMeanOutput));
+      std::clamp(output, kMinOutputTokens, kMaxOutputFactor * one.mMeanOutput));
     // What a caller allows is more than what comes.
-    shape.mMaxTokens = static_cast<tokens>(kMostOutputFactor * one.mMeanOutput);
+    shape.mMaxTokens = static_cast<tokens>(kMaxOutputFactor * one.mMeanOutput);
     shape.mPriority = one.mPriority;
     shape.mLong = shape.mPromptTokens >= aLongPrompt;
     shape.mPrefixHashes =
-      DrawMarks(aMix, shape.mPromptTokens, arrivals.size(), random);
+      DrawPrefixHashes(aMix, shape.mPromptTokens, arrivals.size(), random);
     next.mDeadline = now + FromSeconds(one.mTimeLimitSeconds);
     arrivals.push_back(std::move(next));
   }
--- a/Utilities/Bench/Report.h
+++ b/Utilities/Bench/Report.h
@@ -10,9 +10,9 @@
 namespace primrose::bench {
 
 std::string
-TableOf(const std::vector<run_summary>& aRuns);
+FormatTable(const std::vector<run_summary>& aRuns);
 std::string
-JsonLinesOf(const std::vector<run_summary>& aRuns);
+FormatJsonLines(const std::vector<run_summary>& aRuns);
 
 /// Writes NAME.txt, NAME.jsonl, NAME.dat and NAME.gp into the folder. The
 /// script draws NAME.png when gnuplot is run on it there.
--- a/Utilities/Bench/Simulation.cpp
+++ b/Utilities/Bench/Simulation.cpp
@@ -58,13 +58,13 @@
 class world
 {
 public:
-  world(const world_settings& aSettings,
+  world(const simulation_settings& aSettings,
         const bench_policy& aPolicy,
         const traffic_mix& aMix,
         const std::vector<arrival>& aArrivals,
         std::uint64_t aSeed);
 
-  world_result Run();
+  simulation_result Run();
 
 private:
   void At(time_point aTime, std::function<void()> aAct);
@@ -87,14 +87,14 @@
   void TakeOutput(std::size_t aSite, const engine_output& aOutput);
   void PartRead(flight& aFlight);
   void ReleaseAll(flight& aFlight);
-  void End(flight& aFlight, request_end aEnd);
+  void End(flight& aFlight, request_outcome aEnd);
   void SetExpiry(std::size_t aSite);
   void RunExpiry(std::size_t aSite);
   void Report();
   void Kill(std::size_t aSite);
   std::size_t LeastOf(const std::vector<std::size_t>& aSites, bool aByUnread);
 
-  world_settings mSettings;
+  simulation_settings mSettings;
   bench_policy mPolicy;
   const traffic_mix& mMix;
   const std::vector<arrival>& mArrivals;
@@ -110,10 +110,10 @@
   std::vector<flight> mFlights;
   std::map<std::string, std::size_t> mByAttempt;
   std::size_t mOpen = 0;
-  world_result mResult;
+  simulation_result mResult;
 };
 
-world::world(const world_settings& aSettings,
+world::world(const simulation_settings& aSettings,
              const bench_policy& aPolicy,
              const traffic_mix& aMix,
              const std::vector<arrival>& aArrivals,
@@ -170,7 +170,7 @@
   });
 }
 
-world_result
+simulation_result
 world::Run()
 {
   mResult.mRequests.resize(mArrivals.size());
@@ -179,10 +179,10 @@
     At(mArrivals[i].mAt, [this, i]() { Arrive(i); });
   }
   At(mNow, [this]() { Report(); });
-  if (mSettings.mDeaths > 0 && !mArrivals.empty()) {
+  if (mSettings.mEngineCrashes > 0 && !mArrivals.empty()) {
     const time_point middle =
       time_point{} + (mArrivals.back().mAt - time_point{}) / 2;
-    for (std::size_t i = 0; i < mSettings.mDeaths; ++i) {
+    for (std::size_t i = 0; i < mSettings.mEngineCrashes; ++i) {
       At(middle, [this, i]() { Kill(i); });
     }
   }
@@ -194,7 +194,7 @@
   }
   for (const site& one : mSites) {
     mResult.mBusySeconds += one.mEngine.mBusySeconds;
-    mResult.mMemoryLeft += one.mBoard.mUsed + one.mEngine.mUsed;
+    mResult.mLeakedTokens += one.mBoard.mUsed + one.mEngine.mUsed;
   }
   return mResult;
 }
@@ -213,7 +213,7 @@
   At(own.mArrival->mDeadline, [this, aIndex]() {
     flight& late = mFlights[aIndex];
     if (!late.mOver) {
-      End(late, request_end::Late);
+      End(late, request_outcome::Late);
     }
   });
   Place(own);
@@ -301,7 +301,7 @@
   for (const std::size_t one : chosen) {
     aFlight.mRanked.push_back({ one, 0 });
   }
-  Later(aFlight, mSettings.mOneWay, &world::ReserveNext);
+  Later(aFlight, mSettings.mOneWayDelay, &world::ReserveNext);
 }
 
 void
@@ -322,7 +322,7 @@
                        mRandom);
   mResult.mProbes += asked.size();
   const unsigned attempt = aFlight.mAttempts;
-  At(mNow + mSettings.mOneWay,
+  At(mNow + mSettings.mOneWayDelay,
      [this, index = aFlight.mIndex, attempt, asked]() {
        if (mFlights[index].mAttempts == attempt) {
          TakeAnswers(mFlights[index], asked);
@@ -341,7 +341,7 @@
   std::vector<candidate> candidates;
   for (const std::size_t one : aAsked) {
     const bool lost =
-      mSites[one].mDown || Uniform(mRandom) < mSettings.mLostProbes;
+      mSites[one].mDown || Uniform(mRandom) < mSettings.mProbeLossRate;
     if (!lost) {
       candidates.push_back({ one, Probe(mSites[one].mBoard, shape, mNow) });
     }
@@ -373,7 +373,7 @@
       });
   }
   // The answers' way back and the reservation's way there.
-  Later(aFlight, 2 * mSettings.mOneWay, &world::ReserveNext);
+  Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
 }
 
 void
@@ -422,7 +422,7 @@
       Refused(aFlight, answer);
       return;
     }
-    Later(aFlight, 2 * mSettings.mOneWay, &world::ReserveNext);
+    Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
     return;
   }
   aFlight.mSites.push_back(aSite);
@@ -440,7 +440,7 @@
     aFlight.mArrival->mShape.mLong ? mPolicy.mLongAttempts : mPolicy.mAttempts;
   const bool again = aWhy != refusal::TooLate && aFlight.mAttempts < attempts;
   if (!again) {
-    End(aFlight, request_end::Refused);
+    End(aFlight, request_outcome::Refused);
     return;
   }
   const duration pause =
@@ -461,10 +461,10 @@
 {
   ++aFlight.mGranted;
   if (aFlight.mGranted < aFlight.mGroup) {
-    Later(aFlight, 2 * mSettings.mOneWay, &world::ReserveNext);
+    Later(aFlight, 2 * mSettings.mOneWayDelay, &world::ReserveNext);
     return;
   }
-  Later(aFlight, 2 * mSettings.mOneWay, &world::SubmitAll);
+  Later(aFlight, 2 * mSettings.mOneWayDelay, &world::SubmitAll);
 }
 
 void
@@ -543,10 +543,11 @@
   request_record& record = mResult.mRequests[own.mIndex];
   if (aOutput.mIndex == 0) {
     RecordFirstToken(mSites[aSite].mBoard, own.mAttempt, mNow);
-    record.mFirstToken = Seconds(mNow + mSettings.mOneWay - own.mArrival->mAt);
+    record.mSecondsToFirstToken =
+      Seconds(mNow + mSettings.mOneWayDelay - own.mArrival->mAt);
   }
   if (aOutput.mLast) {
-    End(own, request_end::Complete);
+    End(own, request_outcome::Complete);
   }
 }
 
@@ -579,15 +580,17 @@
 }
 
 void
-world::End(flight& aFlight, request_end aEnd)
+world::End(flight& aFlight, request_outcome aEnd)
 {
   aFlight.mOver = true;
   --mOpen;
   ReleaseAll(aFlight);
   request_record& record = mResult.mRequests[aFlight.mIndex];
   record.mEnd = aEnd;
-  record.mTotal = Seconds(mNow + mSettings.mOneWay - aFlight.mArrival->mAt);
-  record.mRefusedAfter = aEnd == request_end::Refused ? record.mTotal : 0;
+  record.mSecondsToEnd =
+    Seconds(mNow + mSettings.mOneWayDelay - aFlight.mArrival->mAt);
+  record.mSecondsToRefusal =
+    aEnd == request_outcome::Refused ? record.mSecondsToEnd : 0;
 }
 
 void
@@ -635,12 +638,12 @@
         ++running;
       }
     }
-    At(mNow + mSettings.mReportLag, [this, i, unread, running]() {
+    At(mNow + mSettings.mLoadReportLag, [this, i, unread, running]() {
       mSites[i].mReportedUnread = unread;
       mSites[i].mReportedRunning = running;
     });
   }
-  At(mNow + mSettings.mReportLag, [this]() { Report(); });
+  At(mNow + mSettings.mLoadReportLag, [this]() { Report(); });
 }
 
 void
@@ -671,12 +674,12 @@
 
 } // namespace
 
-world_result
-RunWorld(const world_settings& aSettings,
-         const bench_policy& aPolicy,
-         const traffic_mix& aMix,
-         const std::vector<arrival>& aArrivals,
-         std::uint64_t aSeed)
+simulation_result
+RunSimulation(const simulation_settings& aSettings,
+              const bench_policy& aPolicy,
+              const traffic_mix& aMix,
+              const std::vector<arrival>& aArrivals,
+              std::uint64_t aSeed)
 {
   world one(aSettings, aPolicy, aMix, aArrivals, aSeed);
   return one.Run();
--- a/Utilities/Bench/Simulation.h
+++ b/Utilities/Bench/Simulation.h
@@ -39,22 +39,22 @@
   bool operator==(const bench_policy&) const = default;
 };
 
-struct world_settings
+struct simulation_settings
 {
   engine_shape mEngine;
   std::size_t mEngines = 20;
   std::size_t mEntries = 4;
-  duration mOneWay = std::chrono::microseconds(1500);
-  duration mReportLag = std::chrono::milliseconds(500);
-  double mLostProbes = 0;           ///< Part of the probes that get no answer.
+  duration mOneWayDelay = std::chrono::microseconds(1500);
+  duration mLoadReportLag = std::chrono::milliseconds(500);
+  double mProbeLossRate = 0;        ///< Part of the probes that get no answer.
   double mQueueWaitSeconds = 2;     ///< Of a short request at one agent.
   double mLongQueueWaitSeconds = 5; ///< Of a long one.
   /// Engines that die at half the time, to come back empty after 60 s.
-  std::size_t mDeaths = 0;
-  bool operator==(const world_settings&) const = default;
+  std::size_t mEngineCrashes = 0;
+  bool operator==(const simulation_settings&) const = default;
 };
 
-enum class request_end : std::uint8_t
+enum class request_outcome : std::uint8_t
 {
   Complete,
   Refused, ///< Told "not run" before anything ran.
@@ -65,31 +65,31 @@
 struct request_record
 {
   std::size_t mArrival = 0;
-  request_end mEnd = request_end::Refused;
-  double mFirstToken = 0; ///< Seconds from arrival.
-  double mTotal = 0;
-  double mRefusedAfter = 0;
+  request_outcome mEnd = request_outcome::Refused;
+  double mSecondsToFirstToken = 0; ///< Seconds from arrival.
+  double mSecondsToEnd = 0;
+  double mSecondsToRefusal = 0;
 
   bool operator==(const request_record&) const = default;
 };
 
-struct world_result
+struct simulation_result
 {
   std::vector<request_record> mRequests;
   std::uint64_t mProbes = 0;
   std::uint64_t mReservations = 0;
-  double mBusySeconds = 0; ///< Over all engines.
-  tokens mMemoryLeft = 0;  ///< Held by boards and engines at the end: 0.
+  double mBusySeconds = 0;  ///< Over all engines.
+  tokens mLeakedTokens = 0; ///< Held by boards and engines at the end: 0.
 
-  bool operator==(const world_result&) const = default;
+  bool operator==(const simulation_result&) const = default;
 };
 
 /// Runs all arrivals to their ends.
-world_result
-RunWorld(const world_settings& aSettings,
-         const bench_policy& aPolicy,
-         const traffic_mix& aMix,
-         const std::vector<arrival>& aArrivals,
-         std::uint64_t aSeed);
+simulation_result
+RunSimulation(const simulation_settings& aSettings,
+              const bench_policy& aPolicy,
+              const traffic_mix& aMix,
+              const std::vector<arrival>& aArrivals,
+              std::uint64_t aSeed);
 
 } // namespace primrose::bench
--- a/Utilities/Control/Control.h
+++ b/Utilities/Control/Control.h
@@ -60,7 +60,7 @@
 
 // Logs of gateways.
 result<int>
-ShowStory(control_context& aContext);
+ShowRequestTimeline(control_context& aContext);
 
 // A running fleet.
 result<int>
--- a/Utilities/Control/FleetCommands.cpp
+++ b/Utilities/Control/FleetCommands.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr unsigned kGood = 200;
-constexpr duration kAskLimit = std::chrono::seconds(5);
+constexpr duration kOperatorRequestTimeout = std::chrono::seconds(5);
 
 /// The JSON of an entry's answer, or a failure with what it said.
 result<json>
-AskJson(control_context& aContext, const std::string& aUrl)
+FetchJson(control_context& aContext, const std::string& aUrl)
 {
   BOOST_LEAF_ASSIGN(http_response const response, Ask(aContext, "GET", aUrl));
   BOOST_LEAF_ASSIGN(json body, ParseObject(response.mBody));
@@ -27,15 +27,15 @@
 }
 
 std::optional<json>
-StatusOf(control_context& aContext, const std::string& aEntry)
+FetchStatus(control_context& aContext, const std::string& aEntry)
 {
   outcome<json> status = Capture<json>(
-    [&]() { return AskJson(aContext, "http://" + aEntry + "/status"); });
+    [&]() { return FetchJson(aContext, "http://" + aEntry + "/status"); });
   return status.mValue;
 }
 
 void
-PrintEntry(const std::string& aAddress, const json& aStatus)
+PrintGateway(const std::string& aAddress, const json& aStatus)
 {
   std::cout << fmt::format("{} at {} ({}): {} in flight, settings revision "
                            "{}{}\n",
@@ -90,7 +90,8 @@
   request.mHeaders.emplace("Authorization",
                            "Bearer " + aContext.mSettings.mOperatorKey);
   try {
-    return WithTimeout(aContext.mHttp.Send(std::move(request)), kAskLimit)
+    return WithTimeout(aContext.mHttp.Send(std::move(request)),
+                       kOperatorRequestTimeout)
       .wait(aContext.mLoop.Scope());
   } catch (const kj::Exception& problem) {
     return Fail(error_kind::EndpointFailed,
@@ -103,13 +104,13 @@
 {
   json all = json::object();
   for (const std::string& entry : aContext.mSettings.mEntries) {
-    const std::optional<json> status = StatusOf(aContext, entry);
+    const std::optional<json> status = FetchStatus(aContext, entry);
     all[entry] = status.value_or(json(nullptr));
     if (aContext.mJson) {
       continue;
     }
     if (status) {
-      PrintEntry(entry, *status);
+      PrintGateway(entry, *status);
     } else {
       std::cout << entry << " does not answer\n";
     }
@@ -133,8 +134,8 @@
     // The request's id names the entry that knows it; others are asked only
     // as long as that one has not been found.
     const outcome<json> answer = Capture<json>([&]() {
-      return AskJson(aContext,
-                     fmt::format("http://{}/explain/{}", entry, request));
+      return FetchJson(aContext,
+                       fmt::format("http://{}/explain/{}", entry, request));
     });
     if (!answer) {
       why = answer.mFailure;
@@ -214,7 +215,7 @@
   while (clock.Now() < end) {
     bool all = true;
     for (const std::string& entry : aContext.mSettings.mEntries) {
-      const std::optional<json> status = StatusOf(aContext, entry);
+      const std::optional<json> status = FetchStatus(aContext, entry);
       all = all && status &&
             static_cast<double>((*status)["endpoints"].size()) >= wanted;
     }
--- a/Utilities/Control/LogCommands.cpp
+++ b/Utilities/Control/LogCommands.cpp
@@ -7,7 +7,7 @@
 namespace primrose::control {
 
 result<int>
-ShowStory(control_context& aContext)
+ShowRequestTimeline(control_context& aContext)
 {
   const std::string& request = aContext.mArguments[0];
   std::vector<std::string> lines;
@@ -26,7 +26,7 @@
       }
     }
   }
-  const std::vector<std::string> story = RequestStory(lines, request);
+  const std::vector<std::string> story = RequestTimeline(lines, request);
   if (story.empty()) {
     return Fail(error_kind::NotFound,
                 "no line of these logs names request " + request);
--- a/Utilities/Control/Main.cpp
+++ b/Utilities/Control/Main.cpp
@@ -52,7 +52,7 @@
            2,
            kMany - 1,
            false,
-           &ShowStory },
+           &ShowRequestTimeline },
   command{ "status",
            "",
            "entries and the endpoints they see",
@@ -116,7 +116,7 @@
 }
 
 int
-Complain(const std::string& aProblem)
+ReportUsageError(const std::string& aProblem)
 {
   std::cerr << "primrosectl: " << aProblem << " (see --help)\n";
   return kExitUsage;
@@ -160,14 +160,14 @@
     }
     const std::optional<std::string> nearest =
       NearestWord(aWords.front(), known);
-    return Complain(fmt::format(
+    return ReportUsageError(fmt::format(
       "unknown command \"{}\"{}",
       aWords.front(),
       nearest ? fmt::format("; did you mean \"{}\"?", *nearest) : ""));
   }
   aWords.erase(aWords.begin());
   if (aWords.size() < found->mLeast || aWords.size() > found->mMost) {
-    return Complain(
+    return ReportUsageError(
       fmt::format("usage: {} {}", found->mName, found->mArguments));
   }
   const outcome<int> ended =
@@ -219,11 +219,12 @@
                      .run(),
                    values);
   } catch (const options::error& problem) {
-    return Complain(problem.what());
+    return ReportUsageError(problem.what());
   }
   log_level level = log_level::Error;
   if (!ParseLogLevel(values["log-level"].as<std::string>(), level)) {
-    return Complain("--log-level: expected debug, info, warning or error");
+    return ReportUsageError(
+      "--log-level: expected debug, info, warning or error");
   }
   StartLog("primrosectl", level);
   if (values.count("help") != 0) {
@@ -241,7 +242,7 @@
     return read ? kExitSuccess : ReportFailure("primrosectl", read.mFailure);
   }
   if (values.count("words") == 0) {
-    return Complain("no command");
+    return ReportUsageError("no command");
   }
   return RunCommand(values, values["words"].as<std::vector<std::string>>());
 }
--- a/Utilities/Control/RequestTimeline.cpp
+++ b/Utilities/Control/RequestTimeline.cpp
@@ -11,18 +11,19 @@
 
 /// Events that change what an entry believes, and whose newest line before a
 /// request therefore says what it believed then.
-constexpr std::array<std::string_view, 7> kBeliefs = {
+constexpr std::array<std::string_view, 7> kStateEvents = {
   "started",       "draining",           "manifest_in_force", "store_lost",
   "store_reached", "store_history_lost", "peer_lost"
 };
-constexpr std::array<std::string_view, 2> kEndpointBeliefs = {
+constexpr std::array<std::string_view, 2> kEndpointStateEvents = {
   "endpoint_listed",
   "endpoint_avoided"
 };
 
 template<std::size_t N>
 bool
-IsOne(const std::array<std::string_view, N>& aNames, std::string_view aName)
+ContainsName(const std::array<std::string_view, N>& aNames,
+             std::string_view aName)
 {
   return std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
 }
@@ -49,18 +50,18 @@
 }
 
 request_trace
-TraceOf(const std::vector<std::string>& aLines, std::string_view aRequest)
+TraceRequest(const std::vector<std::string>& aLines, std::string_view aRequest)
 {
   request_trace trace;
   for (const std::string& line : aLines) {
-    if (ValueIn(line, "request") != aRequest) {
+    if (LogFieldValue(line, "request") != aRequest) {
       continue;
     }
     trace.mLines.push_back(line);
-    trace.mEntries.insert(ValueIn(line, "by"));
-    AddEndpoints(trace.mEndpoints, ValueIn(line, "endpoint"));
-    AddEndpoints(trace.mEndpoints, ValueIn(line, "readers"));
-    const std::string time = ValueIn(line, "time");
+    trace.mEntries.insert(LogFieldValue(line, "by"));
+    AddEndpoints(trace.mEndpoints, LogFieldValue(line, "endpoint"));
+    AddEndpoints(trace.mEndpoints, LogFieldValue(line, "readers"));
+    const std::string time = LogFieldValue(line, "time");
     trace.mFirst = trace.mFirst.empty() ? time : std::min(trace.mFirst, time);
     trace.mLast = std::max(trace.mLast, time);
   }
@@ -69,39 +70,40 @@
 
 /// True if a line tells what an entry of the trace believed.
 bool
-IsBelief(const std::string& aLine, const request_trace& aTrace)
+IsStateChange(const std::string& aLine, const request_trace& aTrace)
 {
-  const std::string event = ValueIn(aLine, "event");
-  const bool known = IsOne(kBeliefs, event) ||
-                     (IsOne(kEndpointBeliefs, event) &&
-                      aTrace.mEndpoints.contains(ValueIn(aLine, "endpoint")));
-  return known && aTrace.mEntries.contains(ValueIn(aLine, "by"));
+  const std::string event = LogFieldValue(aLine, "event");
+  const bool known =
+    ContainsName(kStateEvents, event) ||
+    (ContainsName(kEndpointStateEvents, event) &&
+     aTrace.mEndpoints.contains(LogFieldValue(aLine, "endpoint")));
+  return known && aTrace.mEntries.contains(LogFieldValue(aLine, "by"));
 }
 
 /// What a process believed ended with it: lines of an entry from before its
 /// newest start say nothing of the request.
 void
-DropEarlierStarts(std::map<std::string, std::string>& aBefore)
+DropStatesBeforeRestart(std::map<std::string, std::string>& aBefore)
 {
   std::map<std::string, std::string> started;
   for (const auto& [subject, line] : aBefore) {
-    if (ValueIn(line, "event") == "started") {
-      started[ValueIn(line, "by")] = ValueIn(line, "time");
+    if (LogFieldValue(line, "event") == "started") {
+      started[LogFieldValue(line, "by")] = LogFieldValue(line, "time");
     }
   }
   std::erase_if(aBefore, [&started](const auto& aEntry) {
-    return ValueIn(aEntry.second, "time") <
-           started[ValueIn(aEntry.second, "by")];
+    return LogFieldValue(aEntry.second, "time") <
+           started[LogFieldValue(aEntry.second, "by")];
   });
 }
 
 /// Lines with the same of this replace each other.
 std::string
-SubjectOf(const std::string& aLine)
+StateKeyOf(const std::string& aLine)
 {
   std::string subject;
   for (const std::string_view key : { "by", "event", "table", "endpoint" }) {
-    subject += ValueIn(aLine, key) + '\n';
+    subject += LogFieldValue(aLine, key) + '\n';
   }
   return subject;
 }
@@ -109,7 +111,7 @@
 } // namespace
 
 std::string
-ValueIn(std::string_view aLine, std::string_view aKey)
+LogFieldValue(std::string_view aLine, std::string_view aKey)
 {
   std::size_t at = 0;
   while ((at = aLine.find(aKey, at)) != std::string_view::npos) {
@@ -129,34 +131,37 @@
 }
 
 std::vector<std::string>
-RequestStory(const std::vector<std::string>& aLines, std::string_view aRequest)
+RequestTimeline(const std::vector<std::string>& aLines,
+                std::string_view aRequest)
 {
-  const request_trace trace = TraceOf(aLines, aRequest);
+  const request_trace trace = TraceRequest(aLines, aRequest);
   if (trace.mLines.empty()) {
     return {};
   }
   std::vector<std::string> story = trace.mLines;
   std::map<std::string, std::string> before;
   for (const std::string& line : aLines) {
-    if (!IsBelief(line, trace) || ValueIn(line, "request") == aRequest) {
+    if (!IsStateChange(line, trace) ||
+        LogFieldValue(line, "request") == aRequest) {
       continue;
     }
-    const std::string time = ValueIn(line, "time");
+    const std::string time = LogFieldValue(line, "time");
     if (time < trace.mFirst) {
-      std::string& held = before[SubjectOf(line)];
-      held = held.empty() || ValueIn(held, "time") <= time ? line : held;
+      std::string& held = before[StateKeyOf(line)];
+      held = held.empty() || LogFieldValue(held, "time") <= time ? line : held;
     } else if (time <= trace.mLast) {
       story.push_back(line);
     }
   }
-  DropEarlierStarts(before);
+  DropStatesBeforeRestart(before);
   for (const auto& [subject, line] : before) {
     story.push_back(line);
   }
   std::stable_sort(story.begin(),
                    story.end(),
                    [](const std::string& aOne, const std::string& aOther) {
-                     return ValueIn(aOne, "time") < ValueIn(aOther, "time");
+                     return LogFieldValue(aOne, "time") <
+                            LogFieldValue(aOther, "time");
                    });
   return story;
 }
--- a/Utilities/Control/RequestTimeline.h
+++ b/Utilities/Control/RequestTimeline.h
@@ -11,12 +11,13 @@
 
 /// The value of a key in a line of key=value pairs; empty if it is not there.
 std::string
-ValueIn(std::string_view aLine, std::string_view aKey);
+LogFieldValue(std::string_view aLine, std::string_view aKey);
 
 /// The lines that matter for a request, in the order of time; none if the logs
 /// do not know it. Of each belief (manifest, store, endpoints that it met) the
 /// newest line before the request is given, and all lines until its end.
 std::vector<std::string>
-RequestStory(const std::vector<std::string>& aLines, std::string_view aRequest);
+RequestTimeline(const std::vector<std::string>& aLines,
+                std::string_view aRequest);
 
 } // namespace primrose::control
--- a/Utilities/Control/SettingsCommands.cpp
+++ b/Utilities/Control/SettingsCommands.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 result<tree_path>
-ReadPath(const std::string& aText)
+ParseTreePath(const std::string& aText)
 {
   tree_path path;
   if (aText == "fleet") {
@@ -66,7 +66,8 @@
 ShowEffective(control_context& aContext)
 {
   BOOST_LEAF_ASSIGN(settings_tree const tree, LoadTree(aContext.mArguments[0]));
-  BOOST_LEAF_ASSIGN(tree_path const path, ReadPath(aContext.mArguments[1]));
+  BOOST_LEAF_ASSIGN(tree_path const path,
+                    ParseTreePath(aContext.mArguments[1]));
   const policy resolved = tree.Resolve(path);
   json document = json::object();
   for (const policy_value& value : PolicyValues()) {
--- a/Utilities/Load/LoadPlan.cpp
+++ b/Utilities/Load/LoadPlan.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr number_range kCounts = { 0, 1e6, "requests" };
+constexpr number_range kCallCountRange = { 0, 1e6, "requests" };
 constexpr number_range kTokens = { 1, 1e8, "tokens" };
 
 std::uint64_t
@@ -57,7 +57,7 @@
 } // namespace
 
 result<load_plan>
-LoadPlanFile(const std::string& aFile)
+ReadLoadPlan(const std::string& aFile)
 {
   BOOST_LEAF_ASSIGN(std::string const text, ReadFile(aFile));
   BOOST_LEAF_ASSIGN(json const document, ParseSettings(text, aFile));
@@ -71,10 +71,11 @@
   plan.mGuardedPath = reader.Text("guarded_path").value_or("/");
   plan.mPlainPath = reader.Text("plain_path").value_or("/");
   ReadPrompts(reader, plan, problems);
-  plan.mPlainCalls = Whole(reader.Number("plain_calls", kCounts), 0);
-  plan.mGuardedCalls = Whole(reader.Number("guarded_calls", kCounts), 0);
-  plan.mAtOnce =
-    Whole(reader.Number("at_once", { 1, 256, "requests" }), plan.mAtOnce);
+  plan.mPlainCalls = Whole(reader.Number("plain_calls", kCallCountRange), 0);
+  plan.mGuardedCalls =
+    Whole(reader.Number("guarded_calls", kCallCountRange), 0);
+  plan.mConcurrency =
+    Whole(reader.Number("at_once", { 1, 256, "requests" }), plan.mConcurrency);
   plan.mOutputTokens =
     Whole(reader.Number("output_tokens", kTokens), plan.mOutputTokens);
   plan.mSeed = Whole(reader.Number("seed", { 0, 1e9, "seed" }), plan.mSeed);
--- a/Utilities/Load/LoadPlan.h
+++ b/Utilities/Load/LoadPlan.h
@@ -37,7 +37,7 @@
   std::vector<prompt_size> mPrompts;
   std::uint64_t mPlainCalls = 0;
   std::uint64_t mGuardedCalls = 0;
-  std::uint64_t mAtOnce = 8;
+  std::uint64_t mConcurrency = 8;
   std::uint64_t mOutputTokens = 16;
   std::uint64_t mSeed = 1;
   double mTimeLimitSeconds = 120;
@@ -46,6 +46,6 @@
 };
 
 result<load_plan>
-LoadPlanFile(const std::string& aFile);
+ReadLoadPlan(const std::string& aFile);
 
 } // namespace primrose::load
--- a/Utilities/Load/LoadRun.cpp
+++ b/Utilities/Load/LoadRun.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned kGood = 200;
 constexpr std::string_view kDone = "[DONE]";
-constexpr std::size_t kShownBytes = 160;
+constexpr std::size_t kMaxReportedBytes = 160;
 
 /// A stream that is being read by a caller.
 struct reading
@@ -29,7 +29,7 @@
 
 /// Takes one event's data; false if it says that the answer is cut off.
 bool
-TakeEvent(reading& aReading, const std::string& aData, time_point aNow)
+HandleStreamEvent(reading& aReading, const std::string& aData, time_point aNow)
 {
   if (aData == kDone) {
     aReading.mDone = true;
@@ -37,7 +37,7 @@
   }
   const json event = json::parse(aData, nullptr, false);
   if (event.contains("error")) {
-    aReading.mResult.mProblem = aData.substr(0, kShownBytes);
+    aReading.mResult.mProblem = aData.substr(0, kMaxReportedBytes);
     return false;
   }
   const json& choice = event.at("choices").at(0);
@@ -64,7 +64,7 @@
   } else if (aReading.mText != aReading.mExpected) {
     result.mProblem = "the answer is not the one to this prompt";
   } else {
-    result.mRight = true;
+    result.mCorrect = true;
   }
 }
 
@@ -87,7 +87,7 @@
         return own->mResult;
       }
       for (const std::string& data : *events.mValue) {
-        TakeEvent(*own, data, aClock.Now());
+        HandleStreamEvent(*own, data, aClock.Now());
       }
       return ReadStream(aClock, kj::mv(own));
     });
@@ -164,14 +164,14 @@
 {
   mProgress = std::move(aProgress);
   kj::Vector<kj::Promise<void>> workers;
-  for (std::uint64_t i = 0; i < mPlan.mAtOnce; ++i) {
-    workers.add(Worker());
+  for (std::uint64_t i = 0; i < mPlan.mConcurrency; ++i) {
+    workers.add(RunWorker());
   }
   return kj::joinPromises(workers.releaseAsArray());
 }
 
 kj::Promise<void>
-load_run::Worker()
+load_run::RunWorker()
 {
   if (mNext == mRequests.size()) {
     return kj::READY_NOW;
@@ -187,7 +187,7 @@
     .then([this](request_result aResult) {
       mResults.push_back(std::move(aResult));
       mProgress(mResults.size());
-      return Worker();
+      return RunWorker();
     });
 }
 
@@ -261,11 +261,11 @@
       result.mSeconds = Seconds(mClock.Now() - started);
       const json body = json::parse(aResponse.mBody, nullptr, false);
       if (aResponse.mStatus != kGood || !body.contains("choices")) {
-        result.mProblem = aResponse.mBody.substr(0, kShownBytes);
+        result.mProblem = aResponse.mBody.substr(0, kMaxReportedBytes);
       } else if (body["choices"][0]["text"] != expected) {
         result.mProblem = "the answer is not the one to this prompt";
       } else {
-        result.mRight = true;
+        result.mCorrect = true;
       }
       return result;
     });
@@ -303,9 +303,9 @@
       request_result result;
       result.mRequest = aRequest;
       result.mSeconds = Seconds(mClock.Now() - started);
-      result.mRight = aResponse.mStatus == kGood;
-      if (!result.mRight) {
-        result.mProblem = aResponse.mBody.substr(0, kShownBytes);
+      result.mCorrect = aResponse.mStatus == kGood;
+      if (!result.mCorrect) {
+        result.mProblem = aResponse.mBody.substr(0, kMaxReportedBytes);
       }
       return result;
     });
@@ -323,14 +323,14 @@
       request_result result;
       result.mRequest = aRequest;
       result.mSeconds = Seconds(mClock.Now() - started);
-      result.mRight = true;
+      result.mCorrect = true;
       for (const http_response& response : aResponses) {
         const json body = json::parse(response.mBody, nullptr, false);
         const bool once = response.mStatus == kGood && body.is_object() &&
                           body.value("execution", 0) == 1;
         if (!once) {
-          result.mRight = false;
-          result.mProblem = response.mBody.substr(0, kShownBytes);
+          result.mCorrect = false;
+          result.mProblem = response.mBody.substr(0, kMaxReportedBytes);
         }
       }
       return result;
@@ -338,7 +338,7 @@
 }
 
 kj::Promise<double>
-load_run::FirstToken(const std::string& aEngine, std::uint64_t aNumber)
+load_run::MeasureFirstToken(const std::string& aEngine, std::uint64_t aNumber)
 {
   constexpr std::uint64_t kShortPrompt = 1000;
   const std::string prompt = MakePrompt(kShortPrompt, aNumber);
--- a/Utilities/Load/LoadRun.h
+++ b/Utilities/Load/LoadRun.h
@@ -36,7 +36,7 @@
 struct request_result
 {
   planned_request mRequest;
-  bool mRight = false;
+  bool mCorrect = false;
   std::string mProblem;
   double mFirstTokenSeconds = 0; ///< Streamed requests only.
   double mSeconds = 0;
@@ -63,11 +63,11 @@
 
   /// The time to the first token of a short streamed prompt through an entry,
   /// or straight from an engine where `aEngine` is not empty.
-  kj::Promise<double> FirstToken(const std::string& aEngine,
-                                 std::uint64_t aNumber);
+  kj::Promise<double> MeasureFirstToken(const std::string& aEngine,
+                                        std::uint64_t aNumber);
 
 private:
-  kj::Promise<void> Worker();
+  kj::Promise<void> RunWorker();
   kj::Promise<request_result> Send(const planned_request& aRequest);
   kj::Promise<request_result> SendStreamed(const planned_request& aRequest);
   kj::Promise<request_result> SendPlain(const planned_request& aRequest);
--- a/Utilities/Load/Main.cpp
+++ b/Utilities/Load/Main.cpp
@@ -31,7 +31,7 @@
 struct table_row
 {
   std::size_t mSent = 0;
-  std::size_t mRight = 0;
+  std::size_t mCorrect = 0;
   std::vector<double> mFirstTokens;
   std::vector<double> mSeconds;
 };
@@ -43,9 +43,9 @@
   for (const request_result& result : aResults) {
     table_row& row = rows[{ result.mRequest.mKind, result.mRequest.mTokens }];
     ++row.mSent;
-    row.mRight += result.mRight ? 1 : 0;
+    row.mCorrect += result.mCorrect ? 1 : 0;
     row.mSeconds.push_back(result.mSeconds);
-    if (result.mRequest.mKind == request_kind::Streamed && result.mRight) {
+    if (result.mRequest.mKind == request_kind::Streamed && result.mCorrect) {
       row.mFirstTokens.push_back(result.mFirstTokenSeconds);
     }
   }
@@ -69,7 +69,7 @@
                              key.second == 0 ? std::string("-")
                                              : std::to_string(key.second),
                              row.mSent,
-                             row.mRight,
+                             row.mCorrect,
                              first(0.5),
                              first(0.95),
                              Percentile(row.mSeconds, 0.95));
@@ -96,7 +96,7 @@
   PrintTable(aRun.Results());
   std::size_t wrong = 0;
   for (const request_result& result : aRun.Results()) {
-    if (!result.mRight) {
+    if (!result.mCorrect) {
       ++wrong;
       std::cout << fmt::format("wrong: {} of {} tokens: {}\n",
                                KindName(result.mRequest.mKind),
@@ -112,14 +112,14 @@
 /// Alternates between the entry and the engine itself, so that whatever else
 /// the machine does falls on both.
 int
-Compare(load_run& aRun, main_loop& aLoop, const std::string& aEngine)
+CompareWithEngine(load_run& aRun, main_loop& aLoop, const std::string& aEngine)
 {
   constexpr std::uint64_t kRounds = 200;
   std::vector<double> through;
   std::vector<double> direct;
   for (std::uint64_t i = 0; i < kRounds; ++i) {
-    through.push_back(aRun.FirstToken("", i).wait(aLoop.Scope()));
-    direct.push_back(aRun.FirstToken(aEngine, i).wait(aLoop.Scope()));
+    through.push_back(aRun.MeasureFirstToken("", i).wait(aLoop.Scope()));
+    direct.push_back(aRun.MeasureFirstToken(aEngine, i).wait(aLoop.Scope()));
   }
   for (const double part : { 0.5, 0.95 }) {
     const double own = Percentile(through, part);
@@ -138,7 +138,7 @@
 result<int>
 Start(const common_options& aOptions)
 {
-  BOOST_LEAF_ASSIGN(load_plan const plan, LoadPlanFile(aOptions.mSettingsFile));
+  BOOST_LEAF_ASSIGN(load_plan const plan, ReadLoadPlan(aOptions.mSettingsFile));
   if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
     return kExitSuccess;
@@ -155,7 +155,8 @@
     load_plan one = plan;
     one.mOutputTokens = 1;
     load_run run(clock, one);
-    return Compare(run, loop, aOptions.mValues["compare"].as<std::string>());
+    return CompareWithEngine(
+      run, loop, aOptions.mValues["compare"].as<std::string>());
   }
   load_run run(clock, plan);
   return RunLoad(run, loop, PlanRequests(plan).size());
--- a/Utilities/StandIn/Emulator.cpp
+++ b/Utilities/StandIn/Emulator.cpp
@@ -5,7 +5,7 @@
 namespace primrose::standin {
 
 bool
-face::LoseAnswer()
+face::TakeLostAnswer()
 {
   if (mFaults.mLoseAnswers == 0) {
     return false;
--- a/Utilities/StandIn/Emulator.h
+++ b/Utilities/StandIn/Emulator.h
@@ -24,15 +24,15 @@
 
 protected:
   /// True if this execution's answer is to be lost; counts it off.
-  bool LoseAnswer();
+  bool TakeLostAnswer();
 };
 
 std::unique_ptr<face>
-MakeEngineFace(const clock_source& aClock, const model_settings& aModel);
+MakeEngineEmulator(const clock_source& aClock, const model_settings& aModel);
 std::unique_ptr<face>
-MakeServiceFace();
+MakeServiceEmulator();
 std::unique_ptr<face>
-MakePlatformFace(const clock_source& aClock, duration aListLag);
+MakePlatformEmulator(const clock_source& aClock, duration aListLag);
 
 /// Answers with a JSON document and status 200, or another status.
 void
--- a/Utilities/StandIn/EngineEmulator.cpp
+++ b/Utilities/StandIn/EngineEmulator.cpp
@@ -26,9 +26,9 @@
 
 constexpr duration kLoadLag = std::chrono::milliseconds(500);
 constexpr duration kEventLag = std::chrono::milliseconds(300);
-constexpr duration kKeepFinished = std::chrono::seconds(30);
+constexpr duration kFinishedStreamRetention = std::chrono::seconds(30);
 /// A step later than this is taken as begun anew: the process was paused.
-constexpr duration kLongestCatchUp = std::chrono::seconds(1);
+constexpr duration kMaxCatchUp = std::chrono::seconds(1);
 
 struct stream_state
 {
@@ -38,7 +38,7 @@
   time_point mDoneAt;
   exchange mReader;
   tokens mSent = 0;
-  bool mCut = false;
+  bool mCutHalfway = false;
   tokens mOutput = 0;
   std::vector<std::uint64_t> mPrefixHashes;
 };
@@ -56,35 +56,35 @@
   std::int64_t mFencing = 0;
 };
 
-class engine_face final : public face
+class engine_emulator final : public face
 {
 public:
-  engine_face(const clock_source& aClock, const model_settings& aModel)
+  engine_emulator(const clock_source& aClock, const model_settings& aModel)
     : mClock(aClock)
     , mModel(aModel.mName)
     , mEngine(MakeEngine(EngineShapeFor(aModel)))
   {
   }
-  ~engine_face() override { StopTimer(); }
-  engine_face(const engine_face&) = delete;
-  engine_face& operator=(const engine_face&) = delete;
+  ~engine_emulator() override { StopTimer(); }
+  engine_emulator(const engine_emulator&) = delete;
+  engine_emulator& operator=(const engine_emulator&) = delete;
 
   void Handle(const exchange& aExchange) override
   {
-    using handler = result<void> (engine_face::*)(const exchange&);
+    using handler = result<void> (engine_emulator::*)(const exchange&);
     static const std::map<std::string, handler> kHandlers = {
-      { "POST /v1/completions", &engine_face::Complete },
-      { "GET /v1/streams/resume", &engine_face::Resume },
-      { "POST /v1/streams/cancel", &engine_face::CancelStream },
-      { "GET /v1/streams", &engine_face::ListStreams },
-      { "POST /v1/kv/hold", &engine_face::Hold },
-      { "POST /v1/kv/import", &engine_face::Hold },
-      { "POST /v1/kv/release", &engine_face::CancelStream },
-      { "POST /v1/kv/export", &engine_face::Export },
-      { "GET /v1/load", &engine_face::Load },
-      { "GET /v1/events", &engine_face::Events },
-      { "POST /v1/orders", &engine_face::Order },
-      { "GET /v1/state", &engine_face::State },
+      { "POST /v1/completions", &engine_emulator::Complete },
+      { "GET /v1/streams/resume", &engine_emulator::Resume },
+      { "POST /v1/streams/cancel", &engine_emulator::CancelStream },
+      { "GET /v1/streams", &engine_emulator::ListStreams },
+      { "POST /v1/kv/hold", &engine_emulator::Hold },
+      { "POST /v1/kv/import", &engine_emulator::Hold },
+      { "POST /v1/kv/release", &engine_emulator::CancelStream },
+      { "POST /v1/kv/export", &engine_emulator::Export },
+      { "GET /v1/load", &engine_emulator::Load },
+      { "GET /v1/events", &engine_emulator::Events },
+      { "POST /v1/orders", &engine_emulator::Order },
+      { "GET /v1/state", &engine_emulator::State },
     };
     const auto found =
       kHandlers.find(aExchange->Method() + " " + aExchange->Path());
@@ -140,16 +140,16 @@
     stream.mReader = aExchange;
     if (mFaults.mCutStreams > 0) {
       --mFaults.mCutStreams;
-      stream.mCut = true;
+      stream.mCutHalfway = true;
     }
     mStreams.insert_or_assign(id, std::move(stream));
     aExchange->StartStream(200, "text/event-stream");
-    WatchReader(id, aExchange);
+    DetachOnHangup(id, aExchange);
     SetTimer();
     return {};
   }
 
-  void WatchReader(const std::string& aId, const exchange& aExchange)
+  void DetachOnHangup(const std::string& aId, const exchange& aExchange)
   {
     aExchange->OnHangup([this, aId]() {
       const auto stream = mStreams.find(aId);
@@ -171,8 +171,8 @@
       ParseNumber(QueryValue(aExchange, "from")).value_or(0));
     stream->second.mReader = aExchange;
     aExchange->StartStream(200, "text/event-stream");
-    WatchReader(id, aExchange);
-    SendNew(stream->second);
+    DetachOnHangup(id, aExchange);
+    SendPendingTokens(stream->second);
     return {};
   }
 
@@ -324,7 +324,7 @@
 
   static gboolean Step(gpointer aSelf)
   {
-    engine_face* const self = static_cast<engine_face*>(aSelf);
+    engine_emulator* const self = static_cast<engine_emulator*>(aSelf);
     self->mTimer = 0;
     self->RunSteps();
     self->SetTimer();
@@ -334,7 +334,7 @@
   void RunSteps()
   {
     const time_point now = mClock.Now();
-    if (mEngine.mStepEnds && now - *mEngine.mStepEnds > kLongestCatchUp) {
+    if (mEngine.mStepEnds && now - *mEngine.mStepEnds > kMaxCatchUp) {
       mEngine.mStepEnds = now;
     }
     while (mEngine.mStepEnds && *mEngine.mStepEnds <= now) {
@@ -343,7 +343,8 @@
       }
     }
     std::erase_if(mStreams, [&](const auto& aItem) {
-      return aItem.second.mDone && now - aItem.second.mDoneAt > kKeepFinished;
+      return aItem.second.mDone &&
+             now - aItem.second.mDoneAt > kFinishedStreamRetention;
     });
     mGone.clear();
   }
@@ -363,7 +364,7 @@
     if (aOutput.mIndex == 0) {
       Publish(stream.mPrefixHashes, aNow);
     }
-    SendNew(stream);
+    SendPendingTokens(stream);
   }
 
   void Publish(const std::vector<std::uint64_t>& aMarks, time_point aNow)
@@ -380,7 +381,7 @@
     }
   }
 
-  void SendNew(stream_state& aStream)
+  void SendPendingTokens(stream_state& aStream)
   {
     if (aStream.mReader == nullptr) {
       return;
@@ -392,8 +393,8 @@
       };
       aStream.mReader->Send(FormatEvent(event.dump()));
       ++aStream.mSent;
-      if (aStream.mCut && aStream.mSent >= (aStream.mOutput + 1) / 2) {
-        aStream.mCut = false;
+      if (aStream.mCutHalfway && aStream.mSent >= (aStream.mOutput + 1) / 2) {
+        aStream.mCutHalfway = false;
         aStream.mReader->EndStream();
         aStream.mReader = nullptr;
         return;
@@ -421,9 +422,9 @@
 } // namespace
 
 std::unique_ptr<face>
-MakeEngineFace(const clock_source& aClock, const model_settings& aModel)
+MakeEngineEmulator(const clock_source& aClock, const model_settings& aModel)
 {
-  return std::make_unique<engine_face>(aClock, aModel);
+  return std::make_unique<engine_emulator>(aClock, aModel);
 }
 
 } // namespace primrose::standin
--- a/Utilities/StandIn/Main.cpp
+++ b/Utilities/StandIn/Main.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kLargestBody = std::size_t{ 64 } * 1024 * 1024;
-constexpr std::int64_t kListLagMs = 2000;
+constexpr std::int64_t kDefaultListLagMs = 2000;
 
 class stand_in
 {
@@ -33,7 +33,7 @@
     }
     const faults& active = mFace->mFaults;
     if (active.mSilent) {
-      mSilenced.push_back(std::move(aExchange));
+      mHeldOpenExchanges.push_back(std::move(aExchange));
       return;
     }
     if (active.mDown || active.mRefuse > 0) {
@@ -68,22 +68,22 @@
   }
 
   std::unique_ptr<face> mFace;
-  std::vector<exchange> mSilenced;
+  std::vector<exchange> mHeldOpenExchanges;
   task_failure_logger mFailures;
   kj::TaskSet mTasks{ mFailures };
 };
 
 result<std::unique_ptr<face>>
-MakeFace(const std::string& aKind,
-         const node_settings& aSettings,
-         duration aListLag,
-         const clock_source& aClock)
+MakeEmulator(const std::string& aKind,
+             const node_settings& aSettings,
+             duration aListLag,
+             const clock_source& aClock)
 {
   if (aKind == "platform") {
-    return MakePlatformFace(aClock, aListLag);
+    return MakePlatformEmulator(aClock, aListLag);
   }
   if (aKind == "service") {
-    return MakeServiceFace();
+    return MakeServiceEmulator();
   }
   if (aKind != "engine") {
     return Fail(error_kind::SettingsInvalid,
@@ -96,7 +96,7 @@
     return Fail(error_kind::SettingsInvalid,
                 "serves: no model \"" + aSettings.mServes + "\" in the tree");
   }
-  return MakeEngineFace(aClock, *model);
+  return MakeEngineEmulator(aClock, *model);
 }
 
 result<int>
@@ -111,7 +111,7 @@
   const system_clock_source clock;
   main_loop loop;
   BOOST_LEAF_ASSIGN(std::unique_ptr<face> made,
-                    MakeFace(kind, settings, listLag, clock));
+                    MakeEmulator(kind, settings, listLag, clock));
   BOOST_LEAF_ASSIGN(ip_address const address, ParseAddress(settings.mHttp));
   if (aOptions.mCheckOnly) {
     std::cout << aOptions.mSettingsFile << ": good\n";
@@ -150,7 +150,8 @@
     "engine, service or platform");
   program.mExtraOptions.add_options()(
     "list-lag-ms",
-    boost::program_options::value<std::int64_t>()->default_value(kListLagMs),
+    boost::program_options::value<std::int64_t>()->default_value(
+      kDefaultListLagMs),
     "platform: how late a change shows in the list of VMs");
   return RunProgram(argc, argv, program, &Start);
 }
--- a/Utilities/StandIn/ServiceEmulator.cpp
+++ b/Utilities/StandIn/ServiceEmulator.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-class service_face final : public face
+class service_emulator final : public face
 {
 public:
   void Handle(const exchange& aExchange) override
@@ -20,8 +20,8 @@
     }
     const std::string key = aExchange->Header("Idempotency-Key");
     const std::uint64_t count = ++mExecutions[key.empty() ? "-" : key];
-    if (LoseAnswer()) {
-      mUnanswered.push_back(aExchange);
+    if (TakeLostAnswer()) {
+      mLostAnswerExchanges.push_back(aExchange);
       return;
     }
     AnswerJson(aExchange,
@@ -33,15 +33,15 @@
 
 private:
   std::map<std::string, std::uint64_t> mExecutions;
-  std::vector<exchange> mUnanswered;
+  std::vector<exchange> mLostAnswerExchanges;
 };
 
 } // namespace
 
 std::unique_ptr<face>
-MakeServiceFace()
+MakeServiceEmulator()
 {
-  return std::make_unique<service_face>();
+  return std::make_unique<service_emulator>();
 }
 
 } // namespace primrose::standin
