--- a/Libraries/LibDecision/AgentState.h
+++ b/Libraries/LibDecision/AgentState.h
@@ -53,7 +53,7 @@
 enum class reservation_stage : std::uint8_t
 {
   Waiting,    ///< In the agent's queue; holds no memory.
-  Granted,    ///< ConditionHolds memory; the prompt has not arrived yet.
+  Granted,    ///< Holds memory; the prompt has not arrived yet.
   Prefilling, ///< Sent to the engine, which has returned no token yet.
   Decoding,   ///< The engine returns tokens.
 };
--- a/Libraries/LibFleet/EngineLedger.h
+++ b/Libraries/LibFleet/EngineLedger.h
@@ -58,7 +58,7 @@
 
 struct engine_load
 {
-  double mBacklogMs = 0; ///< RemainingTime prefill time as of `mBacklogAt`.
+  double mBacklogMs = 0; ///< Remaining prefill time as of `mBacklogAt`.
   time_point mBacklogAt{};
   double mTokens = 0; ///< Memory used by the placements on this engine.
   std::vector<placement_key> mDecoding; ///< Placements that decode here.
--- a/Libraries/LibGateway/CrashDetector.h
+++ b/Libraries/LibGateway/CrashDetector.h
@@ -90,7 +90,7 @@
     bool mReached = false; ///< The endpoint has accepted a connection since.
     time_point mFailedAt{};
   };
-  /// The crash_score that unresolved failures of this request would add if
+  /// The crash score that unresolved failures of this request would add if
   /// their endpoints turned out to have crashed.
   crash_score PendingSuspicion(request_digest aRequest) const;
   void CheckReachability(const std::string& aEndpointId,
